--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -27,7 +27,7 @@
 from ashtray.placement.placer import Placer
 from ashtray.placement.plan import Planner
 from ashtray.placement.queue_order import StatedTimes
-from ashtray.standby.notice import Notice
+from ashtray.standby.failure_detector import FailureDetector
 from ashtray.store.client import VALUE_SHARE, Limits, StoreClient
 from ashtray.store.follower import Follower
 from ashtray.teams.grants import Grants
@@ -75,7 +75,7 @@
         )
         times = StatedTimes(settings.cluster.objectives, pace)
         planner = Planner(base, times, MinimumShare(self.picture, pace))
-        self.presence = Presence(base, self.grants, Notice(hosts, word_us(len(hosts))))
+        self.presence = Presence(base, self.grants, FailureDetector(hosts, word_us(len(hosts))))
         self.renewal = RenewalGuard(settings.cluster.workers, hosts)
         self.peers = Peers(
             base, self.presence, lambda: self.desk.heard_us(), lambda: self._duties_moved(), self._peer_stated
--- a/ashtray/fleet/fleet_lease.py
+++ b/ashtray/fleet/fleet_lease.py
@@ -94,4 +94,4 @@
         holder = fleet[0].get("host")
         # A process that was started anew does not know that its host ran the fleet (safety point 27).
         is_own_host = holder == self.base.settings.host_name
-        return is_own_host or (first and holder in self.presence.notice.away)
+        return is_own_host or (first and holder in self.presence.failure_detector.away)
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -18,7 +18,7 @@
 from ashtray.peers.announcements import CancellationAnnouncer
 from ashtray.placement.picture import CONTROLLER, FLEET
 from ashtray.standby.book import HEIRS, Book
-from ashtray.standby.notice import TELL, Notice
+from ashtray.standby.failure_detector import DOUBT_RECIPIENTS, FailureDetector
 from ashtray.store.client import Txn, Urgency
 from ashtray.teams.grants import Grants
 
@@ -46,10 +46,10 @@
 class Presence:
     """This controller's own key, and whom it takes for alive."""
 
-    def __init__(self, base: Base, grants: Grants, notice: Notice) -> None:
+    def __init__(self, base: Base, grants: Grants, failure_detector: FailureDetector) -> None:
         self.base = base
         self.grants = grants
-        self.notice = notice
+        self.failure_detector = failure_detector
         self.incarnation = 0
         """The state service's revision at which this process signed in: no other process has the same."""
         self.lease: int | None = None
@@ -155,7 +155,7 @@
 
     def able(self) -> list[str]:
         """Who holds a lease and is not suspected: what is safe with two at it goes by this."""
-        live, away = self.live(), self.notice.away
+        live, away = self.live(), self.failure_detector.away
         if self._able_of is None or self._able_of[0] is not live or self._able_of[1] is not away:
             self._able_of = live, away
             own = self.base.settings.host_name
@@ -230,7 +230,7 @@
     heard: dict[str, Annotated[int, msgspec.Meta(ge=0, le=MOST_US)]] = {}
     """The age of the last report of each worker that it hears."""
     doubts: list[str] = []
-    """Whom it doubts, by evidence of its own: see `standby/notice.py`."""
+    """Whom it doubts, by evidence of its own: see `standby/failure_detector.py`."""
     revision: Annotated[int, msgspec.Meta(ge=0)] | None = None
     """Up to which revision of the state service it has read; the answer states the cancellations beyond it."""
     book: Book | None = None
@@ -267,7 +267,7 @@
         """
         self.base = base
         self.presence = presence
-        self.notice = presence.notice
+        self.failure_detector = presence.failure_detector
         self.write_book: Callable[[], Book | None] = lambda: None
         """What the runner of the fleet tells its heirs."""
         self.book: tuple[Book, int] | None = None
@@ -277,7 +277,7 @@
         self._reports = reports
         self.peers = {p.host_name: PeerState(p.host_name, p.peer_addr) for p in base.settings.others}
         self.announcer = CancellationAnnouncer(base.kernel, [peer.address for peer in self.peers.values()])
-        self.word_us = self.notice.word_us
+        self.word_us = self.failure_detector.heartbeat_interval_us
         self._doubts: set[str] = set()
         """Whom this controller doubted when it last looked."""
         self._nudges = {host: Signal() for host in self.peers}
@@ -291,10 +291,10 @@
             asked_us = kernel.now_us
             reply = yield from self._send(peer, self._word(peer.host))
             self._take_statement(peer.host, asked_us, reply)
-            self.notice.called(peer.host, reply.refused, reply.status != 0)
+            self.failure_detector.called(peer.host, reply.refused, reply.status != 0)
             self.judge()
             # One that refuses is asked again as soon as that would show something.
-            doubt_us = self.notice.until_doubt_us(peer.host, kernel.now_us, kernel.awake_us)
+            doubt_us = self.failure_detector.until_doubt_us(peer.host, kernel.now_us, kernel.awake_us)
             pause_us = min(doubt_us + NUDGE_US, self.word_us) if reply.refused and doubt_us else self.word_us
             yield Wait(self._nudges[peer.host], pause_us)
             # Two that nudge each other must not chatter.
@@ -302,7 +302,7 @@
 
     def _near(self, host: str) -> list[str]:
         """The peers that are the first to inherit from one."""
-        return by_weight((other for other in self.peers if other != host), host)[:TELL]
+        return by_weight((other for other in self.peers if other != host), host)[:DOUBT_RECIPIENTS]
 
     def _nudge(self, hosts: Iterable[str]) -> None:
         for host in hosts:
@@ -311,14 +311,14 @@
     def judge(self) -> None:
         """See who is away: suspected, or unable to read the state service by its own word."""
         kernel = self.base.kernel
-        doubts = set(self.notice.doubts(kernel.now_us, kernel.awake_us))
+        doubts = set(self.failure_detector.doubts(kernel.now_us, kernel.awake_us))
         for host in doubts - self._doubts:
             # Told at once, so that others look for themselves.
             self._nudge(self._near(host))
         self._doubts = doubts
-        before = self.notice.away
+        before = self.failure_detector.away
         own_age_us = kernel.now_us - self.base.follower.read_us
-        away = self.notice.judge(kernel.now_us, kernel.awake_us, self.presence.live(), own_age_us)
+        away = self.failure_detector.judge(kernel.now_us, kernel.awake_us, self.presence.live(), own_age_us)
         if away is before:
             return
         for host in sorted(away - before):
@@ -333,7 +333,7 @@
         runner = base.picture.fleet[0].get("host") if base.picture.fleet is not None else None
         now = base.kernel.now_us
         ages = {name: now - at_us for name, at_us in self._reports().items()} if host == runner else {}
-        doubts = self.notice.doubts(now, base.kernel.awake_us)
+        doubts = self.failure_detector.doubts(now, base.kernel.awake_us)
         word: dict[str, Any] = {"doubts": doubts} if doubts else {}
         if runner == base.settings.host_name and host in self.presence.heirs(FLEET, HEIRS):
             book = self.write_book()
@@ -419,8 +419,8 @@
         peer.heard = heard
         if word.book is not None:
             self.book = word.book, kernel.now_us
-        self.notice.word(peer.host, kernel.now_us, word.state_age_us, word.doubts)
-        self._nudge(self.notice.wants_a_look(kernel.now_us))
+        self.failure_detector.heartbeat(peer.host, kernel.now_us, word.state_age_us, word.doubts)
+        self._nudge(self.failure_detector.peers_to_probe(kernel.now_us))
         self.judge()
         kernel.answer(request_id, 200, msgspec.to_builtins(self._statement(word.revision)))
 
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -136,16 +136,20 @@
         "            takeover.ok(Check.READ",
         "            takeover.ok(Check.READ",
     ),
-    "suspected-alone": ("ashtray/standby/notice.py", "if others and agree >= min(CONFIRM, len(others)):", "if True:"),
+    "suspected-alone": (
+        "ashtray/standby/failure_detector.py",
+        "if others and confirmations >= min(CONFIRMATIONS, len(others)):",
+        "if True:",
+    ),
     "suspected-for-ever": (
-        "ashtray/standby/notice.py",
-        "now_us - max(peer.since_us, peer.live_us) > MOST_US:",
-        "False:",
+        "ashtray/standby/failure_detector.py",
+        "if now_us - since_us > MAX_SUSPICION_US:",
+        "if False:",
     ),
     "a-halt-is-silence": (
-        "ashtray/standby/notice.py",
-        "quiet_us = now_us - max(peer.word_us, awake_us)",
-        "quiet_us = now_us - peer.word_us",
+        "ashtray/standby/failure_detector.py",
+        "quiet_us = now_us - max(peer.heartbeat_us, awake_us)",
+        "quiet_us = now_us - peer.heartbeat_us",
     ),
     "what-was-heard-is-taken-back": ("ashtray/peers/presence.py", "if at_us > since_us}\n", "if False}\n"),
     "changes-in-proportion": (
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -11,8 +11,8 @@
 
 from ashtray.kernel import Call, Reply
 from ashtray.placement.picture import CONTROLLER, FLEET, RENTALS
+from ashtray.standby.failure_detector import MAX_SUSPICION_US, RECOVERY_HEARTBEATS, FailureDetector
 from ashtray.standby.intents import Intent, Intents, IntentsRecord
-from ashtray.standby.notice import MOST_US, WORDS_BACK, Notice
 from ashtray.standby.takeover import Check, Takeover
 from tests.model import SECOND, Host, Model, submission
 
@@ -288,7 +288,7 @@
         model.cut("c2", f"c{other}", 60, False)
     model.run(8)
     assert "berth-2" not in model.hosts[0].core.presence.able()
-    model.run(MOST_US / SECOND + 2)
+    model.run(MAX_SUSPICION_US / SECOND + 2)
     assert all("berth-2" in host.core.presence.able() for host in model.hosts)
 
 
@@ -314,16 +314,16 @@
             if n % 4 == 0:
                 model.hosts[(n // 4) % 5].halts_us = SECOND * 9 // 10
             model.run(2)
-        suspected += sum(host.core.presence.notice.suspected for host in model.hosts)
+        suspected += sum(host.core.presence.failure_detector.suspicions for host in model.hosts)
     assert suspected == 0
 
 
 def test_what_it_did_not_hear_while_it_stood_still_is_no_evidence() -> None:
-    notice = Notice(["a", "b"], SECOND)
-    notice.word("a", SECOND, 0, ())
-    notice.called("a", False, False)
-    assert notice.doubts(9 * SECOND, 8 * SECOND) == []
-    assert notice.doubts(12 * SECOND, 8 * SECOND) == ["a"]
+    detector = FailureDetector(["a", "b"], SECOND)
+    detector.heartbeat("a", SECOND, 0, ())
+    detector.called("a", False, False)
+    assert detector.doubts(9 * SECOND, 8 * SECOND) == []
+    assert detector.doubts(12 * SECOND, 8 * SECOND) == ["a"]
 
 
 def test_takeover_misses_no_check() -> None:
@@ -348,27 +348,31 @@
 def test_nobody_is_suspected_without_own_evidence_and_that_of_others(
     events: list[tuple[int, tuple[str, str, set[str]]]],
 ) -> None:
-    notice = Notice(HOSTS, SECOND)
+    detector = FailureDetector(HOSTS, SECOND)
     live = ["me", *HOSTS]
     now = SECOND
     for pause, (what, host, doubts) in events:
         now += pause
-        before = notice.away
+        before = detector.away
         if what == "word":
-            notice.word(host, now, 0, doubts)
+            detector.heartbeat(host, now, 0, doubts)
         else:
-            notice.called(host, what == "refused", False)
-        away = notice.judge(now, 0, live, 0)
+            detector.called(host, what == "refused", False)
+        away = detector.judge(now, 0, live, 0)
         for new in away - before:
-            assert new in notice.doubts(now, 0)
-            assert len(notice.peers[new].doubted_by) >= 2
+            assert new in detector.doubts(now, 0)
+            assert len(detector.peers[new].doubted_by) >= 2
         if what == "word" and host in before:
-            assert host in away or notice.peers[host].back >= WORDS_BACK or notice.peers[host].since_us is None
+            assert (
+                host in away
+                or detector.peers[host].recovered >= RECOVERY_HEARTBEATS
+                or detector.peers[host].suspected_since_us is None
+            )
     # Whoever speaks again is taken back.
-    for _ in range(WORDS_BACK):
+    for _ in range(RECOVERY_HEARTBEATS):
         for host in HOSTS:
-            notice.word(host, now, 0, ())
-    assert not notice.judge(now, 0, live, 0)
+            detector.heartbeat(host, now, 0, ())
+    assert not detector.judge(now, 0, live, 0)
 
 
 NAMES = st.one_of(st.none(), st.lists(st.integers(0, 999).map(lambda n: f"vm-{n:06d}"), max_size=50, unique=True))
