--- a/ashtray/base.py
+++ b/ashtray/base.py
@@ -7,7 +7,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Settings, Team
 from ashtray.kernel import Kernel
-from ashtray.placement.picture import Picture
+from ashtray.placement.cluster_state import Picture
 from ashtray.store.client import Limits, StoreClient
 from ashtray.store.follower import Follower
 
--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -22,8 +22,8 @@
 from ashtray.peers import announcements
 from ashtray.peers.announcements import CancellationNotice
 from ashtray.peers.presence import Peers, Presence, word_us
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.minimum_share import MinimumShare
-from ashtray.placement.picture import Picture
 from ashtray.placement.placer import Placer
 from ashtray.placement.plan import Planner
 from ashtray.placement.queue_order import StatedTimes
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -22,7 +22,7 @@
 from ashtray.estimates.model import BINS, MOMENTS, WIDTH, N, merge
 from ashtray.kernel import SECOND_US, Fiber, Sleep
 from ashtray.peers.presence import Presence
-from ashtray.placement.picture import ESTIMATE
+from ashtray.placement.state_keys import ESTIMATE
 from ashtray.store.client import Txn, Urgency
 
 FORM = 1
--- a/ashtray/fleet/boot_times.py
+++ b/ashtray/fleet/boot_times.py
@@ -4,7 +4,7 @@
 
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import Picture
+from ashtray.placement.cluster_state import Picture
 
 WEIGHT = 0.15
 """The weight of the newest boot in the exponential average."""
--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -17,7 +17,7 @@
 from ashtray.fleet.messages import deletion
 from ashtray.jobs.model import LIVE, Job
 from ashtray.kernel import Fiber
-from ashtray.placement.picture import Machine
+from ashtray.placement.machine_groups import Machine
 from ashtray.placement.preemption import Victims, orderly, stop_victims
 from ashtray.store.client import Txn, Urgency
 
--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -20,8 +20,9 @@
 from ashtray.jobs.model import Job, JobSpec
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import Machine, MachineType
+from ashtray.placement.machine_groups import Machine
 from ashtray.placement.plan import Plan, Planner
+from ashtray.placement.records import MachineType
 from ashtray.placement.rules import Ask, Room
 
 DEARER = 0.2
--- a/ashtray/fleet/fleet_lease.py
+++ b/ashtray/fleet/fleet_lease.py
@@ -12,7 +12,7 @@
 from ashtray.base import Base
 from ashtray.kernel import SECOND_US, Fiber
 from ashtray.peers.presence import Presence
-from ashtray.placement.picture import FLEET
+from ashtray.placement.state_keys import FLEET
 from ashtray.store.client import Txn, Urgency
 
 MAX_READ_AGE_US = 3 * SECOND_US
--- a/ashtray/fleet/forecast.py
+++ b/ashtray/fleet/forecast.py
@@ -9,7 +9,8 @@
 
 from ashtray.jobs.model import Job, JobSpec
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import Hold, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.machine_groups import Hold
 from ashtray.placement.rules import Ask, Room
 
 NEVER_US = 1 << 62
--- a/ashtray/fleet/group_edits.py
+++ b/ashtray/fleet/group_edits.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from ashtray.base import Base
-from ashtray.placement.picture import Edit, Machine
+from ashtray.placement.group_edit import Edit
+from ashtray.placement.machine_groups import Machine
 from ashtray.store.client import Txn
 
 
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -11,7 +11,8 @@
 from ashtray.fleet.machine_inventory import FAILED, MachineInventory, PendingMachine
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import SICK, Machine
+from ashtray.placement.machine_groups import Machine
+from ashtray.placement.machine_health import SICK
 
 SILENT_US = 4 * SECOND_US
 """A worker is silent after its lease and this reserve."""
--- a/ashtray/fleet/messages.py
+++ b/ashtray/fleet/messages.py
@@ -8,7 +8,7 @@
 
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import MachineType
+from ashtray.placement.records import MachineType
 
 
 class OfferedType(msgspec.Struct, rename={"gpus": "cards", "price": "rate", "boot_s": "ready_s", "zones": "yards"}):
--- a/ashtray/fleet/provisioning.py
+++ b/ashtray/fleet/provisioning.py
@@ -19,7 +19,7 @@
 from ashtray.fleet.messages import rental, rented_names
 from ashtray.kernel import SECOND_US, Fiber, Reply
 from ashtray.peers.presence import INTENTS
-from ashtray.placement.picture import RENTALS
+from ashtray.placement.state_keys import RENTALS
 from ashtray.standby.intents import Intent, Intents
 from ashtray.standby.takeover import Takeover
 from ashtray.store.client import VALUE_SHARE, Txn, Urgency
--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -11,7 +11,8 @@
 from ashtray.fleet.messages import parse_types
 from ashtray.kernel import SECOND_US, Fiber
 from ashtray.placement import compact_record
-from ashtray.placement.picture import TYPES, MachineType
+from ashtray.placement.records import MachineType
+from ashtray.placement.state_keys import TYPES
 from ashtray.store.client import Txn, Urgency
 
 REFRESH_US = 60 * SECOND_US
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -10,7 +10,7 @@
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import SECOND_US, Fiber, Sleep
 from ashtray.peers.presence import Peers, Presence
-from ashtray.placement.picture import split_key
+from ashtray.placement.state_keys import split_key
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers.folding import end_job
 
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -16,7 +16,7 @@
 from ashtray.jobs.model import Job
 from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Signal, Sleep, Wait
 from ashtray.peers.announcements import CancellationAnnouncer
-from ashtray.placement.picture import CONTROLLER, FLEET
+from ashtray.placement.state_keys import CONTROLLER, FLEET
 from ashtray.standby.book import HEIRS, Book
 from ashtray.standby.notice import TELL, Notice
 from ashtray.store.client import Txn, Urgency
--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -9,9 +9,9 @@
 from ashtray.estimates.learned import Estimate
 from ashtray.jobs.model import Job, JobSpec
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import EPS
 from ashtray.placement.plan import Plan, back_off_us
 from ashtray.placement.queue_order import Standing
+from ashtray.placement.records import EPS
 from ashtray.placement.rules import PREFERENCES, VALIDATORS, Room
 from ashtray.teams.guarantees import leaving
 from ashtray.teams.limits import tasks_within
--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -24,7 +24,7 @@
 from ashtray.jobs.model import Job
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import Picture
+from ashtray.placement.cluster_state import Picture
 
 SHARE = 0.6
 """The part of a class's jobs that is to be served."""
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -11,9 +11,12 @@
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US, Fiber, Signal, Sleep, Wait
 from ashtray.peers.presence import Presence
-from ashtray.placement.picture import EPS, TEAM, Edit, HoldRecord, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.group_edit import Edit
 from ashtray.placement.plan import IMAGE_BYTES, Choice, Plan, Planner, demand
 from ashtray.placement.preemption import Right, Victims, choose_victims, stop_for
+from ashtray.placement.records import EPS, HoldRecord
+from ashtray.placement.state_keys import TEAM
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
 from ashtray.teams.grants import Grants, Share
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -13,9 +13,10 @@
 from ashtray.config.settings import Team
 from ashtray.jobs.model import PRIORITIES, Job, JobSpec
 from ashtray.kernel import SECOND_US
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.minimum_share import MinimumShare
-from ashtray.placement.picture import EPS, Picture
 from ashtray.placement.queue_order import StatedTimes
+from ashtray.placement.records import EPS
 from ashtray.placement.rules import Ask, Room, rank
 from ashtray.store.client import Limits
 from ashtray.teams.guarantees import Excess
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -10,7 +10,9 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job
-from ashtray.placement.picture import Edit, Hold, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.group_edit import Edit
+from ashtray.placement.machine_groups import Hold
 from ashtray.placement.plan import Plan
 from ashtray.placement.rules import VALIDATORS, Ask, Room
 from ashtray.runs import encode_runs
--- a/ashtray/placement/queue_order.py
+++ b/ashtray/placement/queue_order.py
@@ -31,7 +31,8 @@
 from ashtray.jobs.model import Job
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import MachineType, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.records import MachineType
 
 LAUNCH_US = 2 * SECOND_US
 """From a plan to a task's start, beside the fetch of its image: the commit, the order and the report."""
--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -11,7 +11,8 @@
 
 from ashtray.config.operators import OperatorSettings
 from ashtray.jobs.model import JobSpec
-from ashtray.placement.picture import EPS, Machine, MachineType
+from ashtray.placement.machine_groups import Machine
+from ashtray.placement.records import EPS, MachineType
 
 
 @dataclass(slots=True)
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -16,7 +16,9 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job, JobSpec
-from ashtray.placement.picture import EPS, TEAM, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.records import EPS
+from ashtray.placement.state_keys import TEAM
 from ashtray.store.client import Txn
 from ashtray.teams.limits import has_limit, tasks_within
 
--- a/ashtray/teams/guarantees.py
+++ b/ashtray/teams/guarantees.py
@@ -17,7 +17,10 @@
 from typing import Any
 
 from ashtray.config.settings import Team
-from ashtray.placement.picture import CLAIM, EPS, Hold, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.machine_groups import Hold
+from ashtray.placement.records import EPS
+from ashtray.placement.state_keys import CLAIM
 from ashtray.store.client import Txn
 
 Amounts = tuple[float, float]
--- a/ashtray/teams/limits.py
+++ b/ashtray/teams/limits.py
@@ -6,7 +6,7 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job, JobSpec
-from ashtray.placement.picture import EPS
+from ashtray.placement.records import EPS
 
 
 def has_limit(team: Team) -> bool:
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -11,7 +11,7 @@
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Signal, Sleep, Wait
 from ashtray.peers.presence import Peers, Presence
-from ashtray.placement.picture import Group, Machine
+from ashtray.placement.machine_groups import Group, Machine
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers import messages
 from ashtray.workers.folding import Evidence, Fold, adoption, ends_later, hold_is_dead, saves_now
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -7,17 +7,11 @@
 
 from ashtray.jobs.model import LIVE, MOST_LATER, OVER, Job
 from ashtray.kernel import SECOND_US, Kernel
-from ashtray.placement.picture import (
-    ADOPTED,
-    GROUP,
-    Edit,
-    Group,
-    HoldRecord,
-    Machine,
-    MachineRecord,
-    MachineType,
-    Picture,
-)
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.group_edit import Edit
+from ashtray.placement.machine_groups import Group, Machine
+from ashtray.placement.records import HoldRecord, MachineRecord, MachineType
+from ashtray.placement.state_keys import ADOPTED, GROUP
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn
 from ashtray.workers.messages import Report, TaskState
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -14,7 +14,9 @@
 from ashtray.kernel import SECOND_US, Fiber, Sleep
 from ashtray.peers.presence import Presence
 from ashtray.placement import compact_record as lean
-from ashtray.placement.picture import GROUP, Group, Picture, split_key
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.machine_groups import Group
+from ashtray.placement.state_keys import GROUP, split_key
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
 from ashtray.workers.folding import FULL_SHARE, group_size
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -20,7 +20,8 @@
 from ashtray.jobs.messages import parse_submission
 from ashtray.jobs.model import LIVE, JobRecord
 from ashtray.kernel import SECOND_US, Answer, Call, Output, Reply, Send
-from ashtray.placement.picture import GROUP, TYPES, GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP, TYPES
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers.folding import Evidence, Fold
 from ashtray.workers.messages import Report, TaskState
--- a/tests/mutants/gap.py
+++ b/tests/mutants/gap.py
@@ -2,7 +2,7 @@
 
 TESTS = ["tests/test_meetings_gap.py"]
 RENEWAL, LOG = "ashtray/workers/renewal.py", "ashtray/jobs/cancellations.py"
-PICTURE, PRESENCE = "ashtray/placement/picture.py", "ashtray/peers/presence.py"
+CLUSTER_STATE, PRESENCE = "ashtray/placement/cluster_state.py", "ashtray/peers/presence.py"
 CANCELLING = "ashtray/jobs/cancelling.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
@@ -30,14 +30,14 @@
         "self._dropped_revision = max(self._dropped_revision, dropped)",
         "pass",
     ),
-    "stated-cancellations-are-ignored": (PICTURE, "self.cancelled_elsewhere |= news", "pass"),
+    "stated-cancellations-are-ignored": (CLUSTER_STATE, "self.cancelled_elsewhere |= news", "pass"),
     "stated-cancellations-of-unknown-jobs-are-ignored": (
-        PICTURE,
+        CLUSTER_STATE,
         "news = {job_id for job_id in job_ids if job_id not in self.over}",
         "news = {job_id for job_id in job_ids if job_id in self.jobs}",
     ),
     "own-cancellations-are-not-stated": (
-        PICTURE,
+        CLUSTER_STATE,
         "self.cancellations.note(version, job_id)",
         "pass",
     ),
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -2,7 +2,8 @@
 
 TESTS = ["tests/test_meetings_machines.py", "tests/test_meetings_load.py"]
 DESK = "ashtray/workers/desk.py"
-PICTURE, PREEMPTION = "ashtray/placement/picture.py", "ashtray/placement/preemption.py"
+CLUSTER_STATE, GROUP_EDIT = "ashtray/placement/cluster_state.py", "ashtray/placement/group_edit.py"
+PREEMPTION = "ashtray/placement/preemption.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "fast-machines-launch-before-their-record": (
@@ -17,9 +18,9 @@
         "if job.id in picture.completed():",
         "if False:",
     ),
-    "versions-of-what-is-over-kept": (PICTURE, "        self._versions.pop(key, None)\n", ""),
+    "versions-of-what-is-over-kept": (CLUSTER_STATE, "        self._versions.pop(key, None)\n", ""),
     "first-ends-forgotten": (
-        PICTURE,
+        GROUP_EDIT,
         "done = {job: runs for job, runs in self.done.items() if live(job)}",
         "done = {}",
     ),
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -32,7 +32,10 @@
 FOLLOWER, GRANTS = "ashtray/store/follower.py", "ashtray/teams/grants.py"
 NEEDS, ORDER = "ashtray/jobs/needs.py", "ashtray/placement/queue_order.py"
 STATES, CANCELLING, SUBMITTING = (f"ashtray/jobs/{name}.py" for name in ("states", "cancelling", "submitting"))
-PICTURE = "ashtray/placement/picture.py"
+CLUSTER_STATE = "ashtray/placement/cluster_state.py"
+GROUP_EDIT = "ashtray/placement/group_edit.py"
+GROUP_INDEX = "ashtray/placement/group_index.py"
+MACHINE_HEALTH = "ashtray/placement/machine_health.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "absence-is-proof": (FOLDING, "sure = evidence.exact and record.token == evidence.token", "sure = True"),
@@ -66,7 +69,7 @@
         "return True",
     ),
     "job-not-guarded": (PLACER, "txn.guard(LIVE + job.id, job.version).put(", "txn.put("),
-    "groups-not-guarded": (PICTURE, "        txn.guard(group.key, group.version)\n", ""),
+    "groups-not-guarded": (GROUP_EDIT, "        txn.guard(group.key, group.version)\n", ""),
     "team-not-guarded": (PLACER, "txn.guard(TEAM + name, picture.version(TEAM + name))", "pass"),
     "share-taken-at-once": (
         GRANTS,
@@ -159,7 +162,11 @@
         "self.bucket.wait_us(amount, overdraft)",
     ),
     "no-look-before-a-commit": (FOLLOWER, "look = self.look if urgency in SHARED else None", "look = None"),
-    "known-jobs-are-written-again": (PICTURE, "return job_id in self.jobs or job_id in self.over", "return False"),
+    "known-jobs-are-written-again": (
+        CLUSTER_STATE,
+        "return job_id in self.jobs or job_id in self.over",
+        "return False",
+    ),
     "a-lease-for-each-try": (
         "ashtray/peers/presence.py",
         "if opened is None or base.kernel.now_us - opened[1] > LEASE_US // 2:",
@@ -212,7 +219,7 @@
     ),
     "loaded-after-the-pages": (FOLLOWER, "self._paged = True", "self._paged = self.loaded = True"),
     "done-tasks-dropped": (
-        PICTURE,
+        GROUP_EDIT,
         "done = {job: runs for job, runs in self.done.items() if live(job)}",
         "done = {}",
     ),
@@ -224,7 +231,7 @@
     ),
     "accept-without-look": ("ashtray/jobs/accepting.py", ".guard(OVER + job.job_id, 0).put(", ".put("),
     "stopped-holds-hide": (
-        PICTURE,
+        GROUP_INDEX,
         "self.held.setdefault(hold.job, {})[(name, n)] = hold",
         "self.held.setdefault(hold.job, {})[(name, hold.attempt)] = hold",
     ),
@@ -245,13 +252,13 @@
         "return name not in self.listed",
     ),
     "all-late-given-up": ("ashtray/fleet/boot_times.py", "LONGER = 3.0", "LONGER = 1.0"),
-    "mistakes-condemn": (PICTURE, "total += 0 if job.suspect else 1", "total += 1"),
+    "mistakes-condemn": (MACHINE_HEALTH, "return NO_BLAME if job.suspect else HALF_BLAME", "return HALF_BLAME"),
     "done-may-be-cancelled": (
         CANCELLING,
         "                txn.guard(key, picture.groups[key].version)",
         "                pass",
     ),
-    "every-question-reads": (PICTURE, "        self.absent[job_id] = None\n", "        pass\n"),
+    "every-question-reads": (CLUSTER_STATE, "        self.absent[job_id] = None\n", "        pass\n"),
     "started-before-ready": (NEEDS, "return not self.open(job)", "return True"),
     "unknown-counts-as-done": (
         NEEDS,
@@ -277,7 +284,7 @@
         "min(WAITS if host in seen else 0 for host in hosts)",
     ),
     "size-not-checked": ("ashtray/store/client.py", "return size <= self.value_bytes * VALUE_SHARE", "return True"),
-    "moved-machines-count": (PICTURE, "            if name <= upto:\n", "            if False:\n"),
+    "moved-machines-count": (GROUP_INDEX, "            if name <= moved_upto:\n", "            if False:\n"),
     "split-not-marked": (
         "ashtray/workers/splitting.py",
         "txn.guard(lock, picture.version(lock)).put(lock, mark)",
@@ -288,9 +295,13 @@
         "            if len(runs) > room:\n",
         "            if False:\n",
     ),
-    "own-change-counts-as-read": (PICTURE, "return job.version <= self.upto and all(", "return True or all("),
+    "own-change-counts-as-read": (CLUSTER_STATE, "return job.version <= self.upto and all(", "return True or all("),
     "late-change-comes-back": (FOLLOWER, "        if version <= self.revision:\n            return\n", ""),
-    "removed-comes-back": (PICTURE, "        if version > self.upto:\n            self._gone[key] = version\n", ""),
+    "removed-comes-back": (
+        CLUSTER_STATE,
+        "        if version > self.upto:\n            self._gone[key] = version\n",
+        "",
+    ),
     "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, picture.version(lock))", "pass"),
     "notice-taken-for-nothing-new": (DESK, "worker.quiet if report.notice_us is None else None", "worker.quiet"),
     "alone-keeps-its-workers": (
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -10,8 +10,11 @@
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.kernel import Answer
-from ashtray.placement.picture import GROUP, SICK, SPLIT, GroupRecord, HoldRecord, MachineRecord, MachineType, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.machine_health import SICK
 from ashtray.placement.plan import Plan, back_off_us, queue
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.state_keys import GROUP, SPLIT
 from ashtray.store.client import Limits
 from tests.model import LEASE_S, Model, submission
 
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -32,7 +32,7 @@
 from ashtray.estimates.watch import Watch
 from ashtray.kernel import SECOND_US
 from ashtray.lab import replay, traces
-from ashtray.placement.picture import ESTIMATE
+from ashtray.placement.state_keys import ESTIMATE
 from ashtray.workers.messages import TaskState
 from tests.model import Model, submission
 
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -11,10 +11,12 @@
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.minimum_share import SHARE, MinimumShare
-from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, MachineRecord, Picture
 from ashtray.placement.plan import queue
 from ashtray.placement.queue_order import StatedTimes
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP
 
 AIMS = [Objective("wait", "pages", 30.0, 0.65), Objective("wait", "pages", 150.0, 0.995)]
 START_US = 10_000 * SECOND_US
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -12,7 +12,10 @@
 from ashtray.jobs.messages import Malformed, parse_submission
 from ashtray.jobs.model import Job, JobRecord
 from ashtray.placement import compact_record
-from ashtray.placement.picture import GROUP, Edit, GroupRecord, HoldRecord, MachineRecord, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.group_edit import Edit
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn
 from ashtray.workers.messages import parse_report
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -8,7 +8,9 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
-from ashtray.placement.picture import GROUP, TEAM, HoldRecord, MachineRecord, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.records import HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP, TEAM
 from ashtray.store.client import Txn
 from ashtray.teams.grants import LAST, Grants, Want
 from tests.fakes.state import State
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -11,8 +11,11 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
 from ashtray.placement import compact_record
-from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, Machine, MachineRecord, MachineType, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.machine_groups import Machine
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
 from ashtray.placement.rules import FEW_GROUPS, PREFERENCES, Ask, Room, rank, valid
+from ashtray.placement.state_keys import GROUP
 from ashtray.standby.book import latest
 from ashtray.standby.intents import Intent, Intents
 from ashtray.store.client import Limits
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -13,19 +13,11 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Team
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
-from ashtray.placement.picture import (
-    CLAIM,
-    EPS,
-    GROUP,
-    TYPES,
-    GroupRecord,
-    HoldRecord,
-    MachineRecord,
-    MachineType,
-    Picture,
-)
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.plan import Plan, queue
 from ashtray.placement.preemption import Right, choose_victims, stop_for
+from ashtray.placement.records import EPS, GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.state_keys import CLAIM, GROUP, TYPES
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn
 from ashtray.teams.guarantees import Excess
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,8 +11,10 @@
 from ashtray.jobs.model import LIVE, Job, JobRecord, JobSpec
 from ashtray.kernel import Kernel
 from ashtray.placement import compact_record
-from ashtray.placement.picture import GROUP, SPLIT, GroupRecord, HoldRecord, MachineRecord, MachineType, Picture
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.plan import Plan
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.state_keys import GROUP, SPLIT
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
 from ashtray.workers.folding import Evidence, Fold
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -16,7 +16,7 @@
 from ashtray.controller import Controller
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Call, Reply
-from ashtray.placement.picture import TYPES
+from ashtray.placement.state_keys import TYPES
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers.folding import Fold
 from tests.answer_history import ACCEPTED, FINAL, UNKNOWN, AnswerHistory, Heard, WentBack
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -18,8 +18,10 @@
 from ashtray.jobs.cancellations import MOST_ENTRIES
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Fiber, Kernel, Reply, Signal, Wait
+from ashtray.placement.cluster_state import MAX_OVER
 from ashtray.placement.minimum_share import MOST as MOST_SERVED
-from ashtray.placement.picture import EPS, GROUP, MAX_OVER
+from ashtray.placement.records import EPS
+from ashtray.placement.state_keys import GROUP
 from tests import model as model_module
 from tests.fakes.worker import Key
 from tests.model import REPORT_S, SECOND, TYPES, RuleBroken, submission
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -19,17 +19,11 @@
 from ashtray.jobs.model import LIVE, Job, JobRecord, JobSpec
 from ashtray.kernel import Call, Reply
 from ashtray.placement import compact_record
-from ashtray.placement.picture import (
-    ADOPTED,
-    GROUP,
-    GroupRecord,
-    HoldRecord,
-    MachineRecord,
-    MachineType,
-    Picture,
-)
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.plan import Plan
 from ashtray.placement.preemption import Right, Victims, choose_victims
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.state_keys import ADOPTED, GROUP
 from ashtray.runs import decode_runs
 from ashtray.store.client import Limits
 from tests.fakes.cloud import Rented
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -28,7 +28,8 @@
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Answer, Call, Output, Reply, Send
 from ashtray.placement import compact_record
-from ashtray.placement.picture import CONTROLLER, ESTIMATE, FLEET, GROUP, SPLIT, TEAM, TYPES, MachineRecord
+from ashtray.placement.records import MachineRecord
+from ashtray.placement.state_keys import CONTROLLER, ESTIMATE, FLEET, GROUP, SPLIT, TEAM, TYPES
 from ashtray.runs import decode_runs
 from ashtray.store.client import Txn
 from tests.fakes.state import State
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -11,9 +11,11 @@
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, MachineRecord, Picture
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.plan import queue
 from ashtray.placement.queue_order import AGED, BEGIN_SHARE, BEGIN_US, PATIENT, StatedTimes
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP
 
 AIMS = [
     Objective("wait", "pages", 30.0, 0.65),
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,7 +7,7 @@
 from ashtray.jobs.messages import Malformed, parse_submission
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.kernel import Reply
-from ashtray.placement.picture import Picture
+from ashtray.placement.cluster_state import Picture
 from tests.model import Model, submission
 
 SECOND = 1_000_000
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,10 +8,12 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
 from ashtray.kernel import Kernel
-from ashtray.placement import picture as picture_module
+from ashtray.placement import group_index, task_index
 from ashtray.placement import placer as placer_module
-from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, MachineRecord, MachineType, Picture
+from ashtray.placement.cluster_state import Picture
 from ashtray.placement.plan import Plan, queue
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import Limits
 from ashtray.workers.folding import Evidence, Fold
 from ashtray.workers.messages import Report, TaskState
@@ -164,9 +166,9 @@
     picture.waiting()
     picture.take_touched()
     built, settled = [], []
-    machine, unplaced = picture_module.Machine, Picture._unplaced
-    monkeypatch.setattr(picture_module, "Machine", lambda *args: built.append(args) or machine(*args))
-    monkeypatch.setattr(Picture, "_unplaced", lambda self, job: settled.append(job) or unplaced(self, job))
+    machine, unplaced = group_index.Machine, task_index.unplaced_tasks
+    monkeypatch.setattr(group_index, "Machine", lambda *args: built.append(args) or machine(*args))
+    monkeypatch.setattr(task_index, "unplaced_tasks", lambda job, *sets: settled.append(job) or unplaced(job, *sets))
     changed = msgspec.convert(groups[0], GroupRecord)
     changed.machines["vm-0-0"].holds = []
     picture.put(f"{GROUP}0", msgspec.to_builtins(changed), 3)
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -5,7 +5,9 @@
 
 from ashtray.kernel import Call, Kernel, Reply
 from ashtray.placement import compact_record
-from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, MachineRecord, Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import Limits
 from ashtray.workers.folding import Evidence, Fold, adoption
 from ashtray.workers.messages import Report
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -18,7 +18,7 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import JobSpec
-from ashtray.placement.picture import TEAM
+from ashtray.placement.state_keys import TEAM
 from ashtray.teams.grants import Grants, Want
 
 SPEC = JobSpec("any", "crew", "array", 2, 9, 1.0, 0.0, 0.0, "img", 0.0)
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ashtray.kernel import Call, Reply
-from ashtray.placement.picture import CONTROLLER, FLEET, RENTALS
+from ashtray.placement.state_keys import CONTROLLER, FLEET, RENTALS
 from ashtray.standby.intents import Intent, Intents, IntentsRecord
 from ashtray.standby.notice import MOST_US, WORDS_BACK, Notice
 from ashtray.standby.takeover import Check, Takeover
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -36,7 +36,7 @@
 
 from ashtray.config.operators import OperatorSettings  # noqa: E402
 from ashtray.config.settings import Settings  # noqa: E402
-from ashtray.placement.picture import Picture  # noqa: E402
+from ashtray.placement.cluster_state import Picture  # noqa: E402
 from tests import model as models  # noqa: E402
 
 SECOND = 1_000_000
