--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -179,6 +179,7 @@
         return foreman
 
     def _learn(self, worker: Worker, report: Report) -> None:
+        freed_late = self._may_be_freed_late(worker, report)
         self._watch(worker, report)
         worker.report = report
         if report.token >= 1 << 64:
@@ -187,7 +188,7 @@
         signed = machine.record.token if machine is not None else 0
         # A machine that ended and is back has forgotten its token, and a controller that has started since knows of
         # none: one below the record's could never be signed, and what the machine holds would stand for ever (3).
-        if worker.token == 0 or max(report.token, signed) > worker.token:
+        if worker.token == 0 or freed_late or max(report.token, signed) > worker.token:
             worker.token = self._next_token(max(report.token, worker.token, signed))
             worker.exact = False
         else:
@@ -197,6 +198,25 @@
         if report.notice_us is not None:
             self._note_notice(worker, report.notice_us)
 
+    def _may_be_freed_late(self, worker: Worker, report: Report) -> bool:
+        """Whether a fold that is on its way may free what a machine that has begun anew would be told to start again.
+
+        Safety point 3: the tasks that its last report listed as ended still have their places here.  A new token has
+        to be written into the record before any order, and a fold that was built before fails by version then.
+        """
+        last = worker.report
+        machine = self.base.picture.machines.get(worker.name)
+        if last is None or machine is None:
+            return False
+        # A machine that ended and is back has forgotten its token, and counts its sessions from the start.
+        if report.session == last.session and report.token >= last.token:
+            return False
+        return any(
+            (seen := last.tasks.get((hold.job, hold.attempt, task))) is not None and seen.state == "ended"
+            for hold in machine.holds
+            for task in hold.tasks
+        )
+
     def _note_notice(self, worker: Worker, notice_us: int) -> None:
         """Note when the cloud takes a machine; the earliest time counts, for a report may have come late."""
         until_us = self.kernel.now_us + notice_us
