--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -124,9 +124,19 @@
         silent = {name for name, us in silence_us.items() if us > self._lease_us + SILENT_US}
         # When most of the fleet falls silent at once, the fault is likelier on this side.
         if len(silent) > max(FEW_MACHINES, len(self.base.picture.machines) // 2):
-            return {name for name in silent if silence_us[name] > UNSURE_LEASES * self._lease_us}
+            unsure_us = UNSURE_LEASES * self._lease_us
+            return {name for name in silent if silence_us[name] > unsure_us or self._holds_cancelled_tasks(name)}
         return silent
 
+    def _holds_cancelled_tasks(self, name: str) -> bool:
+        """Whether a machine's record lists tasks of jobs that are over.
+
+        On a machine that hangs only its deletion surely ends them, and `cancel_s` may be less than the leases that
+        others are waited for (safety points 1 and 5).
+        """
+        picture = self.base.picture
+        return any(picture.is_over(hold.job) for hold in picture.machines[name].holds)
+
     def _fails_tasks(self, machine: Machine) -> bool:
         return bool(machine.record.failed) and self.base.picture.blame(machine) >= SICK
 
