--- a/tests/mutants/__init__.py
+++ b/tests/mutants/__init__.py
@@ -1,7 +1,8 @@
 """Mutants: each replaces one guard of the code, and some test must fail with it.
 
 Each module of this package states `MUTANTS`, from a mutant's name to the file, the text that stands there exactly
-once and what replaces it, and `TESTS`, the test files that are run against its mutants.
+once and what replaces it, and `TESTS`, the test files that are run against its mutants. It may state `FIRST`, from a
+mutant's name to the test files that are run before the others, for a mutant is done with once a test has failed.
 """
 
 from __future__ import annotations
@@ -27,8 +28,10 @@
     found: dict[str, Mutant] = {}
     for info in pkgutil.iter_modules(__path__):
         module = importlib.import_module(f"{__name__}.{info.name}")
+        first_tests: dict[str, list[str]] = getattr(module, "FIRST", {})
         for name, (file, original, replacement) in module.MUTANTS.items():
             if name in found:
                 raise ValueError(f"two mutants are named {name}")
-            found[name] = Mutant(name, file, original, replacement, tuple(module.TESTS))
+            tests = dict.fromkeys([*first_tests.get(name, ()), *module.TESTS])
+            found[name] = Mutant(name, file, original, replacement, tuple(tests))
     return found
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -42,9 +42,21 @@
             return "NOT caught"
         if done.returncode != 1:
             return f"not run: pytest ended with {done.returncode}"
-        reasons = [line for line in done.stdout.splitlines() if line.startswith("E   ") and "Error" in line]
-        reasons = reasons or [line for line in done.stdout.splitlines() if "RuleBroken" in line]
-        return "caught: " + (reasons[0][4:].strip() if reasons else "failed")[:150]
+        return f"caught by {_failed_test(done.stdout)}: {_reason(done.stdout)}"
+
+
+def _failed_test(output: str) -> str:
+    """The test that pytest names as failed in its summary, without the folder."""
+    failed = [line.split()[1] for line in output.splitlines() if line.startswith(("FAILED ", "ERROR "))]
+    return failed[0].removeprefix("tests/") if failed else "a test without a name"
+
+
+def _reason(output: str) -> str:
+    """The first error that pytest shows, in at most 150 characters."""
+    lines = output.splitlines()
+    reasons = [line for line in lines if line.startswith("E   ") and "Error" in line]
+    reasons = reasons or [line for line in lines if "RuleBroken" in line]
+    return (reasons[0][4:].strip() if reasons else "failed")[:150]
 
 
 def main() -> int:
