--- a/tests/mutants/__init__.py
+++ b/tests/mutants/__init__.py
@@ -2,7 +2,8 @@
 
 Each module of this package states `MUTANTS`, from a mutant's name to the file, the text that stands there exactly
 once and what replaces it, and `TESTS`, the test files that are run against its mutants. It may state `FIRST`, from a
-mutant's name to the test files that are run before the others, for a mutant is done with once a test has failed.
+mutant's name to the test files, or tests as pytest names them, that are run before the others: a mutant is done with
+once a test has failed.
 """
 
 from __future__ import annotations
@@ -21,6 +22,7 @@
     original: str
     replacement: str
     tests: tuple[str, ...]
+    """Test files, and tests as pytest names them, in the order in which they are run."""
 
 
 def load_mutants() -> dict[str, Mutant]:
--- a/tests/mutants/gap.py
+++ b/tests/mutants/gap.py
@@ -52,3 +52,40 @@
         "pass",
     ),
 }
+
+FIRST = {
+    "bound-without-the-lease": ["tests/test_meetings_gap.py::test_a_bound_that_is_longer_breaks_the_rule"],
+    "bound-without-the-drift": ["tests/test_meetings_gap.py::test_the_sum_holds_with_clocks_that_drift"],
+    "bound-without-the-worker-delay": ["tests/test_meetings_gap.py::test_the_sum_holds_with_clocks_that_drift"],
+    "one-statement-is-enough": [
+        "tests/test_meetings_gap.py::test_what_is_known_is_as_old_as_the_oldest_statement_or_the_last_read"
+    ],
+    "statements-count-from-their-arrival": [
+        "tests/test_meetings_gap.py::test_a_statement_counts_from_when_it_was_asked_for"
+    ],
+    "incomplete-statements-count": [
+        "tests/test_meetings_gap.py::test_an_owner_that_is_back_at_once_renews_nothing_that_it_does_not_know"
+    ],
+    "a-late-start-states-everything": [
+        "tests/test_meetings_gap.py::test_a_statement_is_complete_only_where_all_changes_since_were_followed"
+    ],
+    "dropped-entries-are-not-missed": [
+        "tests/test_meetings_gap.py::test_a_statement_is_complete_only_where_all_changes_since_were_followed"
+    ],
+    "stated-cancellations-are-ignored": [
+        "tests/test_meetings_gap.py::test_with_word_from_peers_they_are_gone_within_seconds_and_all_others_live"
+    ],
+    "stated-cancellations-of-unknown-jobs-are-ignored": [
+        "tests/test_meetings_gap.py::test_a_task_that_the_controller_never_heard_of_is_ended_as_well"
+    ],
+    "own-cancellations-are-not-stated": [
+        "tests/test_meetings_gap.py::test_statements_alone_end_the_tasks_where_every_announcement_is_lost"
+    ],
+    "cancellations-are-not-announced": [
+        "tests/test_meetings_gap.py::test_no_task_starts_once_its_user_was_told_of_the_cancellation"
+    ],
+    "announced-cancellations-are-ignored": [
+        "tests/test_meetings_gap.py::test_no_task_starts_once_its_user_was_told_of_the_cancellation"
+    ],
+}
+"""What states most directly what a mutant breaks."""
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -39,3 +39,32 @@
         "True",
     ),
 }
+
+FIRST = {
+    "fast-machines-launch-before-their-record": [
+        "tests/test_meetings_machines.py::test_fast_machines_get_their_work_once_though_writes_lag_and_the_leader_ends"
+    ],
+    "old-report-after-newer-ones": [
+        "tests/test_meetings_machines.py::test_a_notice_of_an_old_report_puts_no_machine_s_end_off"
+    ],
+    "old-reports-count-as-heard": ["tests/test_meetings_machines.py::test_copies_keep_no_dead_machine_alive"],
+    "small-jobs-done-only-once-moved": [
+        "tests/test_meetings_load.py::test_small_jobs_for_minutes_stay_within_the_budget_and_leave_nothing_behind"
+    ],
+    "versions-of-what-is-over-kept": [
+        "tests/test_meetings_load.py::test_small_jobs_for_minutes_stay_within_the_budget_and_leave_nothing_behind"
+    ],
+    "first-ends-forgotten": [
+        "tests/test_meetings_machines.py::test_a_task_that_ended_long_before_the_others_is_not_begun_anew_by_a_new_leader"
+    ],
+    "direct-orders-count-as-heard": [
+        "tests/test_meetings_machines.py::test_orders_that_reach_a_machine_directly_do_not_make_it_one_that_is_heard"
+    ],
+    "stops-in-any-zone": [
+        "tests/test_meetings_machines.py::test_work_is_stopped_in_one_zone_for_a_gang_that_must_share_one"
+    ],
+    "stops-beyond-a-zone-s-share": [
+        "tests/test_meetings_machines.py::test_work_is_stopped_in_both_zones_for_a_gang_that_must_be_spread"
+    ],
+}
+"""What states most directly what a mutant breaks."""
--- a/tests/mutants/ownership.py
+++ b/tests/mutants/ownership.py
@@ -33,3 +33,28 @@
         "if False:",
     ),
 }
+
+FIRST = {
+    "former-owner-frees": [
+        "tests/test_meetings_ownership.py::test_an_old_session_s_end_of_a_task_frees_nothing_that_a_later_owner_has_started_again"
+    ],
+    "cancelled-use-is-free": [
+        "tests/test_meetings_limits.py::test_limits_hold_while_cancelled_tasks_are_out_of_reach_and_the_leader_changes"
+    ],
+    "lingering-use-is-free": [
+        "tests/test_meetings_limits.py::test_limits_hold_while_cancelled_tasks_are_out_of_reach_and_the_leader_changes"
+    ],
+    "small-rest-is-kept": [
+        "tests/test_grants.py::test_a_rest_too_small_for_any_task_of_its_holder_is_taken_where_it_makes_room"
+    ],
+    "silent-within-its-lease": [
+        "tests/test_meetings_leaders.py::test_machines_that_are_back_within_their_lease_are_kept_by_the_heir"
+    ],
+    "others-jobs-keep-room-beyond-their-share": [
+        "tests/test_meetings_limits.py::test_no_place_within_a_limit_stands_idle_while_jobs_wait_with_all_controllers"
+    ],
+    "silence-counted-anew": [
+        "tests/test_meetings_limits.py::test_cancelled_tasks_on_hung_machines_are_gone_in_time_though_the_leader_changes"
+    ],
+}
+"""What states most directly what a mutant breaks."""
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -310,136 +310,165 @@
     "zone-not-checked": (PLACER, "if spec.same_zone and len(zones) > 1:", "if False:"),
 }
 
-FIRST_BY_FILE = {
-    "tests/test_safety.py": [
-        "absence-is-proof",
-        "one-token-for-all",
-        "orders-without-record",
-        "no-doubt",
-        "orders-in-flight-ignored",
-        "renew-for-ever",
-        "job-not-guarded",
-        "groups-not-guarded",
-        "team-not-guarded",
-        "adopted-twice",
-        "loaded-after-the-pages",
-    ],
-    "tests/test_decommissioning.py": [
-        "free-before-deletion",
-        "place-while-deleting",
-    ],
-    "tests/test_grants.py": [
-        "share-taken-at-once",
-        "shares-on-an-unread-picture",
-        "placing-without-a-fence",
-        "old-fence-counts",
-        "fence-not-followed",
-    ],
-    "tests/test_order.py": [
-        "nothing-ages",
-        "bands-across-teams",
-        "least-room-never-ages",
-    ],
-    "tests/test_addition.py": [
-        "largest-do-not-begin",
-        "alone-keeps-its-workers",
-        "alone-sends-on-for-ever",
-        "alone-is-well",
-        "copy-is-a-report",
-        "token-below-the-record",
-        "deaf-is-heard",
-    ],
-    "tests/test_guarantees.py": [
-        "claims-not-guarded",
-        "excess-not-counted",
-        "stopping-counts-as-used",
-        "stopped-at-the-limit",
-        "excess-of-the-plan",
-    ],
-    "tests/test_standby.py": [
-        "rented-without-a-record",
-        "heir-does-not-ask-again",
-        "heir-forgets-what-is-coming",
-        "rents-without-the-term",
-        "read-before-the-term",
-        "suspected-alone",
-        "suspected-for-ever",
-        "a-halt-is-silence",
-    ],
-    "tests/test_returns.py": [
-        "what-was-heard-is-taken-back",
-        "a-lease-for-each-try",
-        "an-address-in-use-ends-it",
-    ],
-    "tests/test_budget.py": [
-        "changes-in-proportion",
-        "a-low-rate-is-waited-out",
-        "no-look-before-a-commit",
-        "known-jobs-are-written-again",
-    ],
-    "tests/test_formats.py": [
-        "rows-of-other-tables",
-        "changed-rows-kept",
-        "tables-grow-for-ever",
-    ],
-    "tests/test_floor.py": [
-        "floor-counts-from-nought",
-        "floor-owes-all",
-        "floor-is-stopped",
-        "floor-before-what-is-in-time",
-    ],
-    "tests/test_recovery.py": [
-        "one-known-ends-all",
-    ],
-    "tests/test_estimates.py": [
-        "failures-teach",
-        "eras-are-added",
-        "one-job-drowns-all",
-    ],
-    "tests/test_placement.py": [
-        "done-tasks-dropped",
-        "gang-portions-of-two-attempts",
-        "stopped-holds-hide",
-    ],
-    "tests/test_bad_nights.py": [
-        "silence-while-halted",
-        "mute-is-silent",
-        "term-outlives-lease",
-        "late-list-condemns",
-        "all-late-given-up",
-        "mistakes-condemn",
-        "done-may-be-cancelled",
-        "every-question-reads",
-        "late-change-comes-back",
-        "notice-taken-for-nothing-new",
-    ],
-    "tests/test_pipelines.py": [
-        "started-before-ready",
-        "unknown-counts-as-done",
-        "cancellation-stays",
-        "needed-not-read",
-        "answers-without-needs",
-        "never-accepted-not-looked-up",
-        "own-change-counts-as-read",
-        "removed-comes-back",
-        "split-not-guarded-by-cancellation",
-    ],
-    "tests/test_upgrade.py": [
-        "lean-form-too-early",
-        "older-one-not-asked",
-    ],
-    "tests/test_limits.py": [
-        "size-not-checked",
-        "moved-machines-count",
-        "split-not-marked",
-        "record-grows-for-ever",
-    ],
-    "tests/test_model.py": [
-        "clear-before-commit",
-        "answers-without-barrier",
-        "accept-without-look",
-        "zone-not-checked",
+FIRST = {
+    "absence-is-proof": [
+        "tests/test_safety.py::test_absence_proves_nothing_once_a_later_owner_has_signed_the_record"
     ],
+    "free-before-deletion": ["tests/test_decommissioning.py"],
+    "place-while-deleting": ["tests/test_decommissioning.py"],
+    "clear-before-commit": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
+    "one-token-for-all": ["tests/test_safety.py::test_no_two_processes_give_out_the_same_token"],
+    "orders-without-record": ["tests/test_safety.py::test_orders_are_given_only_once_the_record_carries_the_token"],
+    "no-doubt": ["tests/test_safety.py::test_an_order_without_an_answer_voids_the_token"],
+    "orders-in-flight-ignored": ["tests/test_safety.py::test_orders_on_their_way_withhold_the_proof_of_absence"],
+    "renew-for-ever": ["tests/test_safety.py::test_leases_are_not_renewed_for_ever_without_the_state_service"],
+    "job-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
+    "groups-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
+    "team-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
+    "share-taken-at-once": ["tests/test_grants.py"],
+    "shares-on-an-unread-picture": ["tests/test_grants.py::test_two_changes_of_the_shares_need_a_look_between_them"],
+    "placing-without-a-fence": ["tests/test_grants.py::test_nothing_is_placed_before_the_fence_nor_after_a_doubt"],
+    "old-fence-counts": ["tests/test_grants.py::test_one_fence_serves_all_controllers_that_start_together"],
+    "fence-not-followed": ["tests/test_grants.py::test_a_fence_counts_once_the_picture_is_read_up_to_it"],
+    "nothing-ages": ["tests/test_order.py"],
+    "bands-across-teams": ["tests/test_order.py"],
+    "least-room-never-ages": ["tests/test_order.py"],
+    "largest-do-not-begin": [
+        "tests/test_addition.py::test_the_largest_begins_on_one_machine_and_leaves_the_room_to_the_others"
+    ],
+    "claims-not-guarded": ["tests/test_guarantees.py::test_two_that_decide_at_once_do_not_stop_the_same_excess"],
+    "excess-not-counted": ["tests/test_guarantees.py::test_a_team_is_not_taken_below_its_guarantee"],
+    "stopping-counts-as-used": ["tests/test_guarantees.py"],
+    "stopped-at-the-limit": [
+        "tests/test_guarantees.py::test_nothing_is_stopped_for_a_job_that_waits_for_its_teams_limit"
+    ],
+    "excess-of-the-plan": [
+        "tests/test_guarantees.py::test_what_ended_by_itself_since_the_plan_is_counted_at_the_commit"
+    ],
+    "rented-without-a-record": ["tests/test_standby.py::test_a_runner_that_ends_at_any_point_rents_nothing_twice"],
+    "heir-does-not-ask-again": ["tests/test_standby.py::test_a_runner_that_ends_at_any_point_rents_nothing_twice"],
+    "heir-forgets-what-is-coming": ["tests/test_standby.py::test_an_heir_counts_what_is_coming_and_not_listed_yet"],
+    "rents-without-the-term": [
+        "tests/test_standby.py::test_one_relieved_while_it_stood_still_writes_nothing_down_any_more"
+    ],
+    "read-before-the-term": [
+        "tests/test_standby.py::test_what_the_former_wrote_last_is_read_after_the_term_was_taken"
+    ],
+    "suspected-alone": ["tests/test_standby.py::test_nobody_is_suspected_without_own_evidence_and_that_of_others"],
+    "suspected-for-ever": ["tests/test_standby.py::test_nobody_is_suspected_without_own_evidence_and_that_of_others"],
+    "a-halt-is-silence": ["tests/test_standby.py::test_what_it_did_not_hear_while_it_stood_still_is_no_evidence"],
+    "what-was-heard-is-taken-back": [
+        "tests/test_returns.py::test_a_controller_that_is_back_at_once_condemns_no_machine"
+    ],
+    "changes-in-proportion": [
+        "tests/test_budget.py::test_one_that_starts_among_busy_ones_has_its_part_after_some_seconds"
+    ],
+    "a-low-rate-is-waited-out": [
+        "tests/test_budget.py::test_a_rate_that_was_far_too_low_for_a_moment_is_not_waited_out"
+    ],
+    "no-look-before-a-commit": [
+        "tests/test_budget.py::test_a_commit_looks_at_what_has_changed_just_before_it_is_written"
+    ],
+    "known-jobs-are-written-again": [
+        "tests/test_budget.py::test_a_job_sent_again_to_another_controller_costs_no_change"
+    ],
+    "a-lease-for-each-try": ["tests/test_returns.py::test_a_sign_in_that_fails_opens_no_new_lease_each_time"],
+    "rows-of-other-tables": [
+        "tests/test_formats.py::test_a_row_that_looks_the_same_is_read_anew_when_what_it_points_into_is_not"
+    ],
+    "changed-rows-kept": [
+        "tests/test_formats.py::test_a_lean_record_that_is_written_and_read_by_what_changed_says_the_same"
+    ],
+    "tables-grow-for-ever": [
+        "tests/test_formats.py::test_a_lean_record_that_is_written_and_read_by_what_changed_says_the_same"
+    ],
+    "an-address-in-use-ends-it": ["tests/test_returns.py::test_an_address_that_is_still_in_use_is_waited_for"],
+    "floor-counts-from-nought": ["tests/test_floor.py::test_after_a_start_the_rule_rests_until_there_is_evidence"],
+    "floor-owes-all": ["tests/test_floor.py"],
+    "floor-is-stopped": ["tests/test_floor.py::test_what_the_floor_placed_is_not_stopped_for_what_is_too_late"],
+    "floor-before-what-is-in-time": ["tests/test_floor.py"],
+    "one-known-ends-all": [
+        "tests/test_recovery.py::test_a_crowd_shares_transactions_and_one_that_is_known_holds_up_nobody"
+    ],
+    "failures-teach": ["tests/test_estimates.py::test_only_what_ran_whole_says_how_long_a_task_takes"],
+    "eras-are-added": ["tests/test_estimates.py"],
+    "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_drown_the_others"],
+    "adopted-twice": ["tests/test_safety.py::test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group"],
+    "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_pages_of_different_moments"],
+    "done-tasks-dropped": [
+        "tests/test_placement.py::test_completed_tasks_of_an_array_cost_its_group_only_and_are_not_placed_again"
+    ],
+    "gang-portions-of-two-attempts": [
+        "tests/test_placement.py::test_a_gang_that_needs_more_groups_than_a_transaction_may_change_runs"
+    ],
+    "answers-without-barrier": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
+    "accept-without-look": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
+    "stopped-holds-hide": ["tests/test_placement.py::test_tasks_stopped_one_after_the_other_all_count_as_placed"],
+    "silence-while-halted": [
+        "tests/test_bad_nights.py::test_what_was_not_heard_while_this_process_stood_still_is_no_silence"
+    ],
+    "mute-is-silent": ["tests/test_bad_nights.py::test_workers_of_a_live_peer_that_gives_no_word_are_not_silent"],
+    "term-outlives-lease": ["tests/test_bad_nights.py::test_running_the_fleet_ends_with_the_lease"],
+    "late-list-condemns": ["tests/test_bad_nights.py::test_a_late_list_condemns_nothing_newer_than_what_it_shows"],
+    "all-late-given-up": [
+        "tests/test_bad_nights.py::test_machines_that_are_late_together_are_waited_for_and_one_that_was_overtaken_is_not"
+    ],
+    "mistakes-condemn": [
+        "tests/test_bad_nights.py::test_jobs_with_a_mistake_condemn_no_machine_and_sick_machines_are_found_all_the_same"
+    ],
+    "done-may-be-cancelled": [
+        "tests/test_bad_nights.py::test_the_cancellation_of_a_small_job_depends_on_the_groups_that_could_end_it"
+    ],
+    "every-question-reads": [
+        "tests/test_bad_nights.py::test_requests_to_the_state_service_do_not_grow_with_the_questions"
+    ],
+    "started-before-ready": ["tests/test_pipelines.py"],
+    "unknown-counts-as-done": [
+        "tests/test_pipelines.py::test_what_is_needed_and_ended_before_all_restarted_is_read_again"
+    ],
+    "cancellation-stays": [
+        "tests/test_pipelines.py::test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved"
+    ],
+    "needed-not-read": ["tests/test_pipelines.py"],
+    "answers-without-needs": ["tests/test_pipelines.py"],
+    "never-accepted-not-looked-up": [
+        "tests/test_pipelines.py::test_whether_a_needed_job_was_accepted_is_never_guessed"
+    ],
+    "lean-form-too-early": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
+    "older-one-not-asked": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
+    "size-not-checked": ["tests/test_limits.py"],
+    "moved-machines-count": ["tests/test_limits.py::test_while_a_group_is_being_split_its_moved_machines_count_once"],
+    "split-not-marked": [
+        "tests/test_limits.py::test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_a_hold"
+    ],
+    "record-grows-for-ever": [
+        "tests/test_limits.py::test_a_jobs_record_never_exceeds_its_room_and_forgets_only_what_can_be_done_again"
+    ],
+    "own-change-counts-as-read": [
+        "tests/test_pipelines.py::test_a_fold_after_a_cancellation_that_was_not_read_yet_makes_nothing_done"
+    ],
+    "late-change-comes-back": ["tests/test_pipelines.py::test_a_change_whose_answer_comes_late_brings_nothing_back"],
+    "removed-comes-back": [
+        "tests/test_pipelines.py::test_what_this_process_removed_does_not_come_back_with_an_older_round"
+    ],
+    "split-not-guarded-by-cancellation": [
+        "tests/test_bad_nights.py::test_the_cancellation_of_a_small_job_depends_on_the_groups_that_could_end_it"
+    ],
+    "notice-taken-for-nothing-new": ["tests/test_safety.py::test_a_task_saves_before_its_machine_goes"],
+    "alone-keeps-its-workers": [
+        "tests/test_addition.py::test_a_controller_alone_with_its_workers_sends_them_on_once_others_tend_them"
+    ],
+    "alone-sends-on-for-ever": ["tests/test_addition.py::test_one_that_only_seems_to_be_alone_keeps_its_workers"],
+    "alone-is-well": [
+        "tests/test_addition.py::test_a_controller_alone_with_its_workers_sends_them_on_once_others_tend_them"
+    ],
+    "copy-is-a-report": ["tests/test_addition.py::test_a_copy_of_a_report_proves_nothing"],
+    "token-below-the-record": [
+        "tests/test_addition.py::test_a_machine_that_is_back_without_its_token_is_owned_again_after_all_controllers_ended_as_well"
+    ],
+    "deaf-is-heard": [
+        "tests/test_addition.py::test_a_controller_does_not_count_a_machine_as_heard_that_goes_on_without_the_token_it_was_given"
+    ],
+    "zone-not-checked": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
 }
-FIRST = {name: [file] for file, names in FIRST_BY_FILE.items() for name in names}
-"""The test file that states what a mutant breaks most directly."""
+"""What states most directly what a mutant breaks."""
--- a/tests/mutants/transactions.py
+++ b/tests/mutants/transactions.py
@@ -41,3 +41,31 @@
         "if False:",
     ),
 }
+
+FIRST = {
+    "late-acceptance-of-what-is-over": [
+        "tests/test_meetings_transactions.py::test_all_orders_of_an_unanswered_acceptance_its_repetition_and_a_cancellation_keep_the_rules"
+    ],
+    "accepted-twice": [
+        "tests/test_meetings_transactions.py::test_all_orders_of_an_unanswered_acceptance_its_repetition_and_a_cancellation_keep_the_rules"
+    ],
+    "presence-gone-unseen": [
+        "tests/test_meetings_transactions.py::test_a_late_sign_in_takes_nobodys_presence_for_long"
+    ],
+    "late-end-of-what-is-over": [
+        "tests/test_meetings_transactions.py::test_a_cancellation_that_arrives_after_the_end_does_not_take_it_back"
+    ],
+    "late-intent-replaces-a-newer-one": [
+        "tests/test_meetings_transactions.py::test_an_intent_without_an_answer_is_not_rented_twice"
+    ],
+    "fold-counted-twice": [
+        "tests/test_meetings_transactions.py::test_a_fold_of_run_times_without_an_answer_counts_once"
+    ],
+    "unanswered-fold-replaced": [
+        "tests/test_meetings_transactions.py::test_a_fold_of_run_times_without_an_answer_counts_once"
+    ],
+    "fold-read-before-doubt": [
+        "tests/test_meetings_transactions.py::test_a_fold_of_run_times_that_arrives_as_it_is_repeated_counts_once"
+    ],
+}
+"""What states most directly what a mutant breaks."""
