--- /dev/null
+++ b/tools/meetings/__init__.py
@@ -0,0 +1,1 @@
+"""Meetings of troubles as days for the bench: see `tools/meeting_days.py`."""
--- /dev/null
+++ b/tools/meetings/site.py
@@ -0,0 +1,88 @@
+"""What a meeting has to know of the site that it is played on."""
+
+from __future__ import annotations
+
+import math
+import tomllib
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+PRIORITIES = ("prod", "high", "urgent", "normal", "standard", "low", "idle")
+"""The most urgent first."""
+
+
+class SiteError(ValueError):
+    """A site file that cannot be used; the text says why, in one line."""
+
+
+@dataclass(frozen=True)
+class Site:
+    """A deployment, as far as meetings depend on it.  The values are for a day whose site is not known."""
+
+    name: str = "any site"
+    duration_s: float = 380.0
+    warmup_s: float = 100.0
+    nodes: int = 3
+    lease_s: float = 20.0
+    cancel_s: float = 45.0
+    machines: int = 100
+    """With the size that the day is made for."""
+    boot_s: float = 30.0
+    """Of the slowest machine type."""
+    zones: tuple[str, ...] = ()
+    urgent_class: str | None = None
+    idle_class: str | None = None
+    """The most and the least urgent class of jobs."""
+
+    def part(self, share: float) -> int:
+        """A share of the machines; one at least."""
+        return max(round(share * self.machines), 1)
+
+
+def any_site(size: float) -> Site:
+    """A site of which nothing is known, so many times its size."""
+    return Site(machines=max(round(Site.machines * size), 1))
+
+
+def read_site(path: Path, size: float) -> Site:
+    """Read a site file, for a deployment of so many times its size.  Raises SiteError."""
+    try:
+        data = tomllib.loads(path.read_text(encoding="utf-8"))
+    except (OSError, UnicodeDecodeError) as error:
+        reason = error.strerror if isinstance(error, OSError) else "it is not text in UTF-8"
+        raise SiteError(f"site {path}: {reason}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise SiteError(f"site {path}: {error}") from None
+    try:
+        return site_of(data, size)
+    except KeyError as error:
+        raise SiteError(f"site {path}: {error.args[0]} is missing") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise SiteError(f"site {path}: a value has the wrong type or is unknown: {error}") from None
+
+
+def site_of(data: dict[str, Any], size: float) -> Site:
+    """A site from its parsed file.  Raises KeyError, TypeError, ValueError or AttributeError where it is no site."""
+    jobs = sorted(data["jobs"], key=lambda job: (PRIORITIES.index(job["priority"]), float(job.get("gpus", 0.0))))
+    if not jobs or not data["capacity"] or not data["machine_types"] or not data["nodes"]["zones"]:
+        raise ValueError("jobs, capacity, machine_types and zones need an entry each")
+    machines = sum(int(kind["count"]) for kind in data["capacity"])
+    zones = {str(kind["zone"]) for kind in data["capacity"]}
+    site = Site(
+        name=str(data["name"]),
+        duration_s=float(data["duration_s"]),
+        warmup_s=float(data["warmup_s"]),
+        nodes=int(data["nodes"]["count"]),
+        lease_s=float(data["workers"]["lease_s"]),
+        cancel_s=float(data["workers"]["cancel_s"]),
+        machines=max(round(machines * size), 1),
+        boot_s=max(float(kind["boot_s"]) for kind in data["machine_types"]),
+        zones=tuple(sorted(zones)),
+        urgent_class=str(jobs[0]["name"]),
+        idle_class=str(jobs[-1]["name"]),
+    )
+    times_s = (site.duration_s, site.warmup_s, site.lease_s, site.cancel_s, site.boot_s)
+    if site.nodes < 1 or not all(math.isfinite(each) and each > 0.0 for each in times_s):
+        raise ValueError("counts of controllers and times are positive numbers")
+    return site
