--- a/tools/meeting_days.py
+++ b/tools/meeting_days.py
@@ -9,9 +9,10 @@
 output.
 Without `--site` a day is drawn that names no class, team or zone, and holds for any site.
 
-With `--size` as many more machines are hit; with `--back-s` processes are back after so many seconds.  The site has
-to be changed with them: given `--site` and `--out`, its changed copy (as `tools/accept.py` makes it) is written beside
-FILE as STEM.SITE.toml, STEM being FILE's name without its ending, with the file of messages that the site names.
+With `--size` as many more machines are hit; with `--back-s` processes are back after so many seconds. The site has
+to be changed with them: given `--site` and `--out`, its changed copy (as `tools/accept.py` makes it) is written
+beside FILE as STEM.SITE.toml, STEM being FILE's name without its ending, with the file of messages that the site
+names.
 
 Exit codes: 0 written, 2 the command line or a file cannot be used.
 """
