--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -9,6 +9,7 @@
 import pytest
 
 TOOLS = Path(__file__).resolve().parent.parent / "tools"
+ALL_SETS = ["short", "standard", "returns", "hard", "meetings", "meetings-large"]
 SITE = """name = "a-fleet"
 [nodes]
 count = 5
@@ -121,12 +122,16 @@
     (tmp_path / "wire.json").write_text("{}")
     site = tmp_path / "a-fleet.toml"
     site.write_text(SITE)
-    for row in accept.rows_of(accept.MATRIX, ["short", "standard", "returns", "hard"], []):
+    for row in accept.rows_of(accept.MATRIX, ALL_SETS, []):
         _, day = accept.make(site, row, tmp_path / "out")
         if row.day.endswith(".toml"):
             assert "@" not in Path(day).read_text(), row.name
     assert 'class = "panel"' in (tmp_path / "out" / "fourfold.toml").read_text()
     assert "count = 278" in (tmp_path / "out" / "dead.toml").read_text()
+    # The last row of a day is the one that stays: of the days of meetings that at half as many machines again.
+    limits = (tmp_path / "out" / "limits-and-hangs.toml").read_text()
+    assert 'kind = "machine_cut", count = 90' in limits and 'kind = "cancel_now", count = 40' in limits
+    assert 'zone = "z", for_s = 6.0' in (tmp_path / "out" / "looks-in-handover.toml").read_text()
 
 
 def test_a_class_under_half_fails_a_day_and_the_least_is_marked(tmp_path: Path) -> None:
