--- a/tests/test_meetings_late_writes.py
+++ b/tests/test_meetings_late_writes.py
@@ -14,7 +14,8 @@
 
 from ashtray.config.operators import OperatorSettings
 from ashtray.placement import compact_record
-from ashtray.placement.picture import GROUP, MachineRecord
+from ashtray.placement.records import MachineRecord
+from ashtray.placement.state_keys import GROUP
 from ashtray.runs import decode_runs
 from tests.fakes.worker import Key
 from tests.meeting_model import some
--- a/tests/test_meetings_team_limits.py
+++ b/tests/test_meetings_team_limits.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from ashtray.placement.picture import TEAM as TEAM_KEY
-from ashtray.placement.picture import Picture
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.state_keys import TEAM as TEAM_KEY
 from tests import model as models
 from tests.meeting_model import Meeting, batch, busiest, some
 from tests.model import CANCEL_S, LEASE_S, REPORT_S, SECOND, TEAM, RuleBroken
