--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -74,26 +74,27 @@
         return end_job(txn, job, "cancelled", len(picture.finished(job)), self.kernel.wall_us)
 
     def bury(self) -> Fiber[None]:
-        """Move the records of jobs that are cancelled with one that they need: they count as cancelled already."""
+        """Write the final states of jobs that count as cancelled since one of their dependencies is."""
         base = self.base
         yield Sleep(SECOND_US)
-        if not base.follower.loaded or not any(self.presence.mine(job) for job in self._doomed()):
+        if not base.follower.loaded or not any(self.presence.mine(job) for job in self._cancelled_dependents()):
             return
         buried: list[str] = []
 
         def build() -> Txn | None:
             buried.clear()
             txn = Txn()
-            for job in self._doomed():
+            for job in self._cancelled_dependents():
                 if txn.changes() + 2 <= base.limits.ops and self.presence.mine(job):
                     end_job(txn, job, "cancelled", 0, self.kernel.wall_us)
-                    buried.append(f"{job.id} cancelled with {base.picture.needs.doomed[job.id]}")
+                    buried.append(f"{job.id} cancelled with {base.picture.dependencies.cancelled_by[job.id]}")
             return txn if buried else None
 
         if (yield from base.follower.commit(build, 2, Urgency.FREE, "bury")):
             for line in buried:
                 self.kernel.log("info", line)
 
-    def _doomed(self) -> list[Job]:
+    def _cancelled_dependents(self) -> list[Job]:
+        """The live jobs that count as cancelled since one of their dependencies is."""
         picture = self.base.picture
-        return [picture.jobs[job_id] for job_id in picture.needs.doomed]
+        return [picture.jobs[job_id] for job_id in picture.dependencies.cancelled_by]
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -40,7 +40,7 @@
         over = picture.over.get(job_id)
         if over is not None:
             return JobState(job_id, over["status"], over["done"])
-        if job_id in picture.needs.doomed:
+        if job_id in picture.dependencies.cancelled_by:
             return JobState(job_id, "cancelled")
         return None
 
@@ -75,7 +75,7 @@
     def _live(self, job: Job) -> JobState | None:
         """The state of a job that is live in the picture; None if the picture does not tell yet."""
         picture = self.base.picture
-        if job.id in picture.needs.doomed:
+        if job.id in picture.dependencies.cancelled_by:
             return JobState(job.id, "cancelled")
         if ends_later(job, self.base.limits):
             if job.id in picture.completed():
@@ -86,7 +86,7 @@
                 return None
         running = len(picture.placed(job.id))
         status = "running" if running else "pending"
-        return JobState(job.id, status, len(picture.finished(job)), running, tuple(picture.needs.open(job)))
+        return JobState(job.id, status, len(picture.finished(job)), running, tuple(picture.dependencies.open(job)))
 
     def _find_final(self, job_id: str, urgency: Urgency) -> Fiber[RetryLater | None]:
         """Read a final state, or wait for somebody else's reading of it; what to say if that fails."""
@@ -104,7 +104,7 @@
         """
         picture = self.base.picture
         known: bool | None = True
-        while unknown := [need for need in picture.needs.unknown([job.id]) if need not in picture.absent]:
+        while unknown := [need for need in picture.dependencies.unknown([job.id]) if need not in picture.absent]:
             known = None
             looking = self._looking.get(unknown[0])
             if looking is not None:
@@ -123,7 +123,7 @@
         picture = base.picture
         if base.follower.loaded and picture.changes != self._resolved:
             self._resolved = picture.changes
-            for need in picture.needs.unknown():
+            for need in picture.dependencies.unknown():
                 if len(self._looking) >= MAX_RESOLVING:
                     self._resolved = -1
                     break
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from ashtray.jobs.cancellations import CancellationLog
+from ashtray.jobs.dependencies import Dependencies
 from ashtray.jobs.model import LIVE, MOST_LATER, OVER, UNLIMITED, Job
-from ashtray.jobs.needs import Needs
 from ashtray.placement.group_index import GroupIndex
 from ashtray.placement.machine_groups import Hold, Machine
 from ashtray.placement.machine_health import machine_blame
@@ -110,8 +110,8 @@
         """The records of learnt run times, by key."""
 
     def _clear_indexes(self) -> None:
-        self.needs = Needs(self.jobs)
-        self._tasks = TaskIndex(self.jobs, self.needs, self._is_confirmed, self._clock, self._most_later)
+        self.dependencies = Dependencies(self.jobs)
+        self._tasks = TaskIndex(self.jobs, self.dependencies, self._is_confirmed, self._clock, self._most_later)
         self._groups = GroupIndex(self._tasks.job_changed)
         self._tasks.follow(self._groups.held, self._groups.done)
         self.groups = self._groups.groups
@@ -155,7 +155,7 @@
     def _put_job(self, job_id: str, value: Any, version: int) -> None:
         job = Job(job_id, value, version, self.job_bytes)
         self.jobs[job_id] = job
-        self._tasks.readiness_changed(self.needs.put(job, self.over))
+        self._tasks.readiness_changed(self.dependencies.put(job, self.over))
         self._job_changed(job_id)
 
     def _put_in_table(self, key: str, value: Any, version: int) -> None:
@@ -195,7 +195,7 @@
 
     def _remove_job(self, job_id: str) -> None:
         self.jobs.pop(job_id, None)
-        self.needs.remove(job_id)
+        self.dependencies.remove(job_id)
         self._job_changed(job_id)
 
     def _remove_from_table(self, key: str) -> None:
@@ -231,7 +231,7 @@
         self.over[job_id] = state
         self.cancelled_elsewhere.discard(job_id)
         self.absent.pop(job_id, None)
-        dependents = self.needs.over(job_id, state)
+        dependents = self.dependencies.over(job_id, state)
         if dependents:
             self._tasks.readiness_changed(dependents)
             self.changes += 1
--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -61,8 +61,8 @@
         if hold.record.stop_us >= 0:
             place["note"] = "being stopped"
         answer["places"].append(place)
-    needs = plan.picture.needs
-    open_needs = needs.open(job)
+    dependencies = plan.picture.dependencies
+    open_needs = dependencies.open(job)
     if open_needs:
         answer["waits_on"] = open_needs
         answer["waiting"] = [f"{need} is to be done first" for need in open_needs]
--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -81,7 +81,7 @@
                     self._served.pop(job_id, None)
         late: Counter[Class] = Counter()
         for job in picture.jobs.values():
-            if job.ready_us < self._since_us or job.suspect or not picture.needs.ready(job):
+            if job.ready_us < self._since_us or job.suspect or not picture.dependencies.ready(job):
                 continue
             name = job.spec.team, job.spec.job_class
             self._live[job.id] = name
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -592,7 +592,7 @@
         """Whether a job's tasks may go where they were planned, as far as the picture shows now."""
         spec, picture = job.spec, self.picture
         tasks = set(item.tasks)
-        if not picture.needs.ready(job):
+        if not picture.dependencies.ready(job):
             return False
         if picture.finished(job) & tasks or picture.placed(job.id) & tasks:
             return False
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -52,7 +52,7 @@
     by_team: dict[str, list[Job]] = {team.name: [] for team in teams.values() if team.cpus or team.gpus}
     if by_team:
         for job in picture.jobs.values():
-            if job.spec.team in by_team and picture.needs.ready(job):
+            if job.spec.team in by_team and picture.dependencies.ready(job):
                 by_team[job.spec.team].append(job)
         for name, jobs in by_team.items():
             jobs.sort(key=lambda job: (job.ready_us, job.id))
--- a/ashtray/placement/task_index.py
+++ b/ashtray/placement/task_index.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from itertools import islice
 
+from ashtray.jobs.dependencies import Dependencies
 from ashtray.jobs.model import UNLIMITED, Job
-from ashtray.jobs.needs import Needs
 from ashtray.placement.machine_groups import Hold, HoldKey
 
 MOST_LEAVING_STALE = 100
@@ -44,7 +44,7 @@
     def __init__(
         self,
         jobs: Mapping[str, Job],
-        needs: Needs,
+        dependencies: Dependencies,
         is_confirmed: Callable[[Job], bool],
         clock: Callable[[], int],
         most_later: int,
@@ -56,7 +56,7 @@
         are moved.
         """
         self._jobs = jobs
-        self._needs = needs
+        self._dependencies = dependencies
         self._is_confirmed = is_confirmed
         self._clock = clock
         self._most_later = most_later
@@ -178,7 +178,7 @@
         self._complete.discard(job_id)
         self._waiting.pop(job_id, None)
         job = self._jobs.get(job_id)
-        if job is None or not self._needs.ready(job):
+        if job is None or not self._dependencies.ready(job):
             return
         tasks = unplaced_tasks(job, self.placed(job_id), self.finished(job))
         if tasks:
@@ -194,4 +194,4 @@
             return
         self._complete.add(job.id)
         if small:
-            self._stale |= self._needs.completed(job.id, self._clock())
+            self._stale |= self._dependencies.completed(job.id, self._clock())
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -354,7 +354,7 @@
         hold up the next stage.  Under the lower limits lazy folds are rare, and all that have a time are such jobs.
         """
         picture = self.base.picture
-        alone = not (job.id in picture.needs.after or (self.base.limits.low and self.pace.timed(job)))
+        alone = not (job.id in picture.dependencies.dependents or (self.base.limits.low and self.pace.timed(job)))
         many = MANY_TASKS if alone else MANY_TIMED_TASKS
         if job.id in picture.waiting() or len(picture.placed(job.id)) > many:
             return False
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -30,7 +30,7 @@
 INVENTORY, PROVISIONING = "ashtray/fleet/machine_inventory.py", "ashtray/fleet/provisioning.py"
 DECOMMISSIONING, PLACER = "ashtray/fleet/decommissioning.py", "ashtray/placement/placer.py"
 FOLLOWER, GRANTS = "ashtray/store/follower.py", "ashtray/teams/grants.py"
-NEEDS, ORDER = "ashtray/jobs/needs.py", "ashtray/placement/queue_order.py"
+DEPENDENCIES, ORDER = "ashtray/jobs/dependencies.py", "ashtray/placement/queue_order.py"
 STATES, CANCELLING, SUBMITTING = (f"ashtray/jobs/{name}.py" for name in ("states", "cancelling", "submitting"))
 CLUSTER_STATE = "ashtray/placement/cluster_state.py"
 GROUP_EDIT = "ashtray/placement/group_edit.py"
@@ -263,13 +263,17 @@
         "                pass",
     ),
     "every-question-reads": (CLUSTER_STATE, "        self.absent[job_id] = None\n", "        pass\n"),
-    "started-before-ready": (NEEDS, "return not self.open(job)", "return True"),
+    "started-before-ready": (DEPENDENCIES, "return not self.open(job)", "return True"),
     "unknown-counts-as-done": (
-        NEEDS,
+        DEPENDENCIES,
         "return [need for need in job.spec.needs if self._ends.get(need) is None]",
         "return [need for need in job.spec.needs if need in self._jobs or self._ends.get(need, 0) is None]",
     ),
-    "cancellation-stays": (NEEDS, "left += [(child, job_id) for child in self.after.get(job_id, ())]", "pass"),
+    "cancellation-stays": (
+        DEPENDENCIES,
+        "remaining += [(dependent, job_id) for dependent in self.dependents.get(job_id, ())]",
+        "pass",
+    ),
     "needed-not-read": (STATES, "self.kernel.spawn(self._resolve(need))", "pass"),
     "answers-without-needs": (STATES, "known = yield from self._know_needs(job, urgency)", "known = True"),
     "never-accepted-not-looked-up": (
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -157,10 +157,10 @@
     put(picture, "job-1", 2)
     put(picture, "job-2", 2, needs=["job-1", "job-0"])
     picture.put(OVER + "job-0", {"status": "done", "done": 1}, 5)
-    assert not picture.needs.ready(picture.jobs["job-2"])
+    assert not picture.dependencies.ready(picture.jobs["job-2"])
     picture.put(OVER + "job-1", {"status": "done", "done": 1, "at_us": 77 * SECOND}, 6)
     picture.remove(LIVE + "job-1", 6)
-    assert picture.needs.ready(picture.jobs["job-2"])
+    assert picture.dependencies.ready(picture.jobs["job-2"])
     assert picture.jobs["job-2"].ready_us == 77 * SECOND
     assert picture.waiting() == {"job-2": [0]}
 
@@ -199,7 +199,7 @@
         put(picture, f"job-{n}", 2, needs=[f"job-{n - 1}"])
     picture.put(OVER + "job-0", {"status": "cancelled", "done": 0}, 5)
     picture.remove(LIVE + "job-0", 5)
-    assert set(picture.needs.doomed) == {"job-1", "job-2", "job-3", "job-4"}
+    assert set(picture.dependencies.cancelled_by) == {"job-1", "job-2", "job-3", "job-4"}
 
 
 def blind(model: Model, number: int) -> list[bool]:
