--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -129,6 +129,7 @@
 
     def delete_drained(self) -> Fiber[None]:
         """Delete what is drained; when the cloud has confirmed it, free what was on it."""
+        self._keep_adopted()
         names = sorted(self.inventory.draining)[:MAX_DELETED]
         if not names:
             return
@@ -140,6 +141,18 @@
         yield from self._free(names)
         self.inventory.forget_deleted()
 
+    def _keep_adopted(self) -> None:
+        """Keep machines that were given up before they had a record, and have come up before they could be deleted.
+
+        Tasks may have been placed on them: only a marked machine is deleted (safety point 1).
+        """
+        machines = self.base.picture.machines
+        draining = self.inventory.draining
+        adopted = [name for name in draining if name in machines and not machines[name].record.retiring]
+        for name in adopted:
+            self.kernel.log("info", f"{name} came up after all: kept")
+        draining.difference_update(adopted)
+
     # Freeing
 
     def _free(self, names: list[str]) -> Fiber[None]:
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -170,6 +170,11 @@
             found[name] = 0 if mute and presence.foreman(machine.group) in mute else max(until - last, 0)
         return found
 
+    def heard_within(self, limit_us: int) -> set[str]:
+        """The machines, with a record or not, that some controller has heard since so long ago (us)."""
+        since_us = self.kernel.now_us - limit_us
+        return {name for name, at_us in self.peers.last_heard().items() if at_us >= since_us}
+
     def quiet(self) -> dict[str, int]:
         """The silences (us) of machines that have missed reports, for the successor of this runner."""
         quiet_us = QUIET_REPORTS * self.base.settings.cluster.workers.report_s * SECOND_US
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -57,6 +57,7 @@
         """The pending machines that are given up; those that have reported are pending no longer."""
         now_us = self.kernel.now_us
         pending_machines = self.inventory.pending
+        heard = self.inventory.heard_within(self._lease_us) if pending_machines else set()
         lost: list[str] = []
         freed: set[MachineKind] = set()
         for name, pending in list(pending_machines.items()):
@@ -65,10 +66,10 @@
                 del pending_machines[name]
                 continue
             late = self.boot_times.hopeless(pending.kind, pending.requested_us, now_us)
-            if not late and pending.kind not in freed and self._blocks_replacement(pending):
+            if not late and name not in heard and pending.kind not in freed and self._blocks_replacement(pending):
                 late = True
                 freed.add(pending.kind)
-            if not self._given_up(name, pending, late):
+            if not self._given_up(name, pending, late, name in heard):
                 continue
             self.kernel.log("info", f"{name} never reported: given up")
             lost.append(name)
@@ -77,8 +78,13 @@
                 self.backoff.clear(pending.kind)
         return lost
 
-    def _given_up(self, name: str, pending: PendingMachine, late: bool) -> bool:
-        """Whether a pending machine is too late, runs without reporting, or is gone in the cloud."""
+    def _given_up(self, name: str, pending: PendingMachine, late: bool, heard: bool) -> bool:
+        """Whether a pending machine is too late, runs without reporting, or is gone in the cloud.
+
+        One that some controller hears is up, however late the transaction that gives it a record.
+        """
+        if heard:
+            return self.inventory.listed.get(name) == FAILED
         now_us = self.kernel.now_us
         too_late = late and not pending.running
         mute = pending.running and now_us - pending.running_us > self._lease_us
--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -2,8 +2,10 @@
 
 TESTS = [
     "tests/test_meetings_late_writes.py",
+    "tests/test_meetings_quick_boots.py",
 ]
 DESK = "ashtray/workers/desk.py"
+REVIEW, DECOMMISSIONING = "ashtray/fleet/machine_review.py", "ashtray/fleet/decommissioning.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "freed-late-after-a-new-session": (
@@ -16,4 +18,10 @@
         "report.session == last.session and report.token >= last.token",
         "report.session == last.session",
     ),
+    "heard-machines-are-given-up": (
+        REVIEW,
+        "if not self._given_up(name, pending, late, name in heard):",
+        "if not self._given_up(name, pending, late, False):",
+    ),
+    "given-up-for-ever": (DECOMMISSIONING, "        self._keep_adopted()\n", ""),
 }
