--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -2,6 +2,7 @@
 
 TESTS = [
     "tests/test_meetings_late_writes.py",
+    "tests/test_meetings_lost_answers.py",
     "tests/test_meetings_quick_boots.py",
 ]
 DESK = "ashtray/workers/desk.py"
@@ -23,5 +24,10 @@
         "if not self._given_up(name, pending, late, name in heard):",
         "if not self._given_up(name, pending, late, False):",
     ),
+    "placed-again-after-a-lost-answer": (
+        "ashtray/placement/placer.py",
+        "if picture.finished(job) & tasks or picture.placed(job.id) & tasks:",
+        "if picture.finished(job) & tasks:",
+    ),
     "given-up-for-ever": (DECOMMISSIONING, "        self._keep_adopted()\n", ""),
 }
