--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -14,6 +14,7 @@
 from ashtray.placement.picture import EPS, TEAM, Edit, HoldRecord, Picture
 from ashtray.placement.plan import IMAGE_BYTES, Choice, Plan, Planner, demand
 from ashtray.placement.preemption import Right, Victims, choose_victims, stop_for
+from ashtray.placement.prospects import Prospects
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
 from ashtray.teams.grants import Grants, Share
@@ -185,7 +186,7 @@
                 continue
             widen = self.widen() if mine else 0.0
             need = len(tasks) if job.spec.kind == "gang" else 1
-            if shared and not self._share_allows(job, need, batch, turn):
+            if shared and not self._share_allows(plan, job, need, batch, turn):
                 continue
             choices: list[Choice] = []
             # A class with an aim on waiting first looks where its image is there in time.
@@ -293,15 +294,17 @@
         """How many tasks this controller's share of the team's limit allows, besides those of the batch."""
         return self.grants.allowed(job.spec.team, job.spec, *batch.used.get(job.spec.team, (0.0, 0.0)))
 
-    def _share_allows(self, job: Job, count: int, batch: Batch, turn: int) -> bool:
+    def _share_allows(self, plan: Plan, job: Job, count: int, batch: Batch, turn: int) -> bool:
         """Whether so many tasks are within this controller's share; else note that more of it is wanted.
 
         Before room is looked for, or made: found on a day with a binding limit, urgent gangs stopped hundreds of
-        tasks for room that they could not use.
+        tasks for room that they could not use.  What no machine could take, even if all but the services ended, asks
+        for no share.
         """
         if self._allowed(job, batch) >= count:
             return True
-        self._note_short(ShortJob(job, count, turn))
+        if plan.prospects.any(job):
+            self._note_short(ShortJob(job, count, turn))
         return False
 
     def _granted(self, plan: Plan, job: Job, choices: list[Choice], batch: Batch, turn: int) -> list[Choice]:
@@ -356,7 +359,8 @@
 
         A gang that does not fit into what is left of the limit must not keep the jobs behind it from asking.
         """
-        wants = self.grants.wants(team, self._queue, self._owner, self.presence.able())
+        prospects = Prospects(self.base.picture, self.base.teams)
+        wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.any)
         for short in jobs:
             job = short.job
             txn = self.grants.reshare(team, job.spec, short.count, wants, short.turn, job.priority <= 1)
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -15,6 +15,7 @@
 from ashtray.kernel import SECOND_US
 from ashtray.placement.minimum_share import MinimumShare
 from ashtray.placement.picture import EPS, Picture
+from ashtray.placement.prospects import Prospects
 from ashtray.placement.queue_order import StatedTimes
 from ashtray.placement.rules import Ask, Room, rank
 from ashtray.store.client import Limits
@@ -166,6 +167,7 @@
         self._no_soon: dict[Demand, int] = {}
         """For demands, how many tasks did not even find room that is being made."""
         self._excess: Excess | None = None
+        self.prospects = Prospects(picture, teams)
         self.visits = 0
         """Rooms looked at closely: what the work of a plan grows with."""
 
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -138,16 +138,22 @@
         return tasks_within(within, used[0] + cpus, used[1] + gpus, spec)
 
     def wants(
-        self, name: str, queue: Iterable[Job], owner: Callable[[Job], str], able: Iterable[str]
+        self,
+        name: str,
+        queue: Iterable[Job],
+        owner: Callable[[Job], str],
+        able: Iterable[str],
+        has_prospects: Callable[[Job], bool] = lambda job: True,
     ) -> dict[str, Want]:
         """What the waiting tasks of a team need, by the controller that places them.
 
-        One that is not in it places nothing any more: it is gone, or its jobs have moved away from it.
+        One that is not in it places nothing any more: it is gone, or its jobs have moved away from it.  A job without
+        prospects (`placement/prospects.py`) needs nothing now.
         """
         found = dict.fromkeys(able, NOTHING)
         waiting = self.picture.waiting()
         for turn, job in enumerate(queue):
-            if job.spec.team == name:
+            if job.spec.team == name and has_prospects(job):
                 host, number = owner(job), len(waiting.get(job.id, ()))
                 want = found.get(host, NOTHING)
                 first = min(want.gang, turn) if job.spec.kind == "gang" and not job.suspect else want.gang
--- /dev/null
+++ b/tests/mutants/waiting.py
@@ -0,0 +1,20 @@
+"""Mutants of what keeps jobs from waiting beside room while their team is under its limit."""
+
+TESTS = ["tests/test_meetings_waiting.py"]
+PLACER, PROSPECTS = "ashtray/placement/placer.py", "ashtray/placement/prospects.py"
+
+MUTANTS: dict[str, tuple[str, str, str]] = {
+    "what-nothing-can-hold-keeps-its-share": (
+        PLACER,
+        "self._owner, self.presence.able(), prospects.any)",
+        "self._owner, self.presence.able())",
+    ),
+    "what-nothing-can-hold-asks-for-a-share": (PLACER, "if plan.prospects.any(job):", "if True:"),
+    "services-are-taken-to-end": (PROSPECTS, 'if job is None or job.spec.kind != "service":', "if True:"),
+    "prospects-of-the-limit-are-not-looked-at": (
+        PROSPECTS,
+        "return self._within_limit(job.spec, count) and self._room(job) >= count",
+        "return self._room(job) >= count",
+    ),
+    "prospects-of-a-spread-job-in-one-zone": (PROSPECTS, "if spec.spread:", "if False:"),
+}
