--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -18,6 +18,8 @@
     key: Key
     state: str = "fetching"
     cause: str | None = None
+    launched_us: int = 0
+    """When its start order was executed."""
     ready_us: int = 0
     """When it has its image."""
     end_us: int = 0
@@ -184,7 +186,7 @@
                 del self.tasks[key]
 
     def _launch(self, now_us: int, key: Key) -> None:
-        task = self.tasks[key] = Task(key)
+        task = self.tasks[key] = Task(key, launched_us=now_us)
         spec = self.world.describe(key[0])
         if spec is None:
             task.state, task.cause = "ended", "unknown"
--- a/tests/model.py
+++ b/tests/model.py
@@ -108,6 +108,8 @@
         self.asked_us = 0
         """When the question was asked whose answer is being looked at."""
         self.late_starts: list[LateStart] = []
+        self.launches_sent: dict[tuple[str, Key], tuple[str, int]] = {}
+        """For each start order to a machine, how and when it was first sent."""
         self.late_share = 0.0
         self.boot_fail = False
         self.boot_factor = 1.0
@@ -315,6 +317,8 @@
 
         self.at(call.timeout_us, lambda: finish(Reply(0)))
         target = call.address.partition(":")[0]
+        if target in self.workers:
+            self._note_launches(target, "direct command", call.body)
         there = self._path(source, target.replace("p", "c") if target[0] == "p" else target)
         if there is None:
             return
@@ -328,6 +332,8 @@
             there = max(there, deaf_until - self.now)
 
         def answered(status: int, body: Any) -> None:
+            if source in self.workers:
+                self._note_launches(source, "answer to a report", body)
             back = self._path(source, target.replace("p", "c") if target[0] == "p" else target)
             if self.deaf.get(source, (0, False))[0] > self.now:
                 # An answer that is held is one whose worker has given it up, or nearly.
--- a/tests/model_basis.py
+++ b/tests/model_basis.py
@@ -159,3 +159,5 @@
     machine: str
     after_us: int
     """How long after the first user was told."""
+    way: str = field(default="", compare=False)
+    """How its start order came, and whether that was sent, and arrived, before the first user was told."""
--- a/tests/model_checks.py
+++ b/tests/model_checks.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from typing import Any
 
 from tests.fakes.worker import Key
 from tests.model_basis import CANCEL_S, SECOND, TEAM, LateStart, RuleBroken
@@ -31,7 +32,8 @@
         if job.cancelled_us is not None and self.now - job.cancelled_us > CANCEL_S * SECOND:
             raise RuleBroken(f"ran_cancelled: {job_id}/{number} started")
         if job.cancelled_us is not None:
-            self.late_starts.append(LateStart(job_id, number, machine, self.now - job.cancelled_us))
+            way = self._way_of_start(machine, key, job.cancelled_us)
+            self.late_starts.append(LateStart(job_id, number, machine, self.now - job.cancelled_us, way))
         if spec["hulls"] and worker.type not in spec["hulls"]:
             raise RuleBroken("wrong_place: type")
         if spec["yard"] not in (None, worker.zone) or (worker.spot and not spec["loaners"]):
@@ -52,6 +54,20 @@
             gang = self.gangs.setdefault((job_id, attempt), {"at": {}, "ran": False, "over": None})
             gang["at"][number] = machine
 
+    def _note_launches(self, machine: str, how: str, body: Any) -> None:
+        """Note when each start order was first sent to a machine, and how."""
+        for order in body.get("orders", ()) if isinstance(body, dict) else ():
+            if order["verb"] == "launch":
+                job_id, _, number = order["piece"].partition("/")
+                self.launches_sent.setdefault((machine, (job_id, order["try"], int(number))), (how, self.now))
+
+    def _way_of_start(self, machine: str, key: Key, cancelled_us: int) -> str:
+        """How a task's start order came, and when, beside the moment at which its job was reported as cancelled."""
+        how, sent_us = self.launches_sent.get((machine, key), ("unknown", 0))
+        sent = "after" if sent_us > cancelled_us else "before"
+        arrived = "after" if self.workers[machine].tasks[key].launched_us > cancelled_us else "before"
+        return f"by {how}, sent {sent} and executed {arrived} the confirmation"
+
     def _left(self, machine: str, key: Key) -> None:
         job_id, attempt, number = key
         where = self.on.get((job_id, number), {})
--- a/tests/nights.py
+++ b/tests/nights.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ashtray.config.operators import OperatorSettings
-from tests.model import SECOND, Model, RuleBroken, submission
+from tests.model import SECOND, LateStart, Model, RuleBroken, submission
 from tests.model_troubles import Refusal
 
 DRIFT_PPM = 500
@@ -50,6 +50,13 @@
     return model.rng.sample(names, min(len(names), model.rng.randint(1, most)))
 
 
+def machines_in(model: Model, zone: str | None, most: int) -> list[str]:
+    """All machines of a zone that are up, or, without a zone, a few of any."""
+    if zone is None:
+        return some_machines(model, most)
+    return [name for name, worker in sorted(model.workers.items()) if worker.zone == zone]
+
+
 def cut_machines(model: Model, seconds: float, hold: bool) -> None:
     """Cut some machines off from all controllers."""
     for name in some_machines(model, 4):
@@ -68,9 +75,9 @@
             model.cut(f"c{n}", name, seconds, False)
 
 
-def make_deaf(model: Model, seconds: float, held: bool) -> None:
-    """Let some machines' reports arrive, and no answer or command reach them."""
-    for name in some_machines(model, 3):
+def make_deaf(model: Model, seconds: float, held: bool, zone: str | None) -> None:
+    """Let the reports of some machines, or of a zone's, arrive, and no answer or command reach them."""
+    for name in machines_in(model, zone, 3):
         model.deaf[name] = (model.now + int(seconds * SECOND), held)
 
 
@@ -96,9 +103,9 @@
     model.at(int(seconds * SECOND), lambda: setattr(model, "late_share", 0.0))
 
 
-def mute_machines(model: Model, seconds: float) -> None:
-    """Let some machines reach no controller, while direct commands reach them."""
-    for name in some_machines(model, 6):
+def mute_machines(model: Model, seconds: float, zone: str | None) -> None:
+    """Let some machines, or a zone's, reach no controller, while direct commands reach them."""
+    for name in machines_in(model, zone, 6):
         model.mute(name, seconds)
 
 
@@ -144,13 +151,14 @@
     how = rng.choice(list(Refusal))
     hang_s = rng.choice([0.0, 5.0, 11.0, HELD_S])
     count, index = rng.randint(1, 12), rng.randrange(12)
+    zone = rng.choice([None, None, "a", "b"])
     troubles: list[Callable[[Model], Any]] = [
         lambda model: model.lose_answers(share, long_s, alone),
         lambda model: model.write_late(share, long_s, alone),
         lambda model: model.report_late(share, long_s),
         lambda model: model.keep_reports(share, long_s),
         lambda model: model.hold_commands(share, long_s),
-        lambda model: mute_machines(model, long_s),
+        lambda model: mute_machines(model, long_s, zone),
         lambda model: model.cut_from_state_and_peers(number, long_s, flag),
         lambda model: model.refuse(number, long_s, how),
         lambda model: (model.refuse(number, long_s, how), model.at(SECOND, lambda: model.state_outage(long_s))),
@@ -167,7 +175,7 @@
         lambda model: crash_all(model, long_s / 2 if flag else short_s / 5),
         lambda model: cut_machines(model, long_s, flag),
         lambda model: cut_zone(model, number, long_s),
-        lambda model: make_deaf(model, long_s, flag),
+        lambda model: make_deaf(model, long_s, flag, zone),
         lambda model: hang_machines(model, hang_s or short_s, flag),
         lambda model: model.lose_machine(index),
         lambda model: slow_messages(model, share / 3, long_s),
@@ -208,7 +216,7 @@
 def play(seed: int) -> Model:
     """Play one night; a RuleBroken carries what was broken."""
     rng = random.Random(seed)
-    hosts = rng.choice([3, 3, 5])
+    hosts = rng.choice([3, 3, 5, 7])
     model = Model(seed, hosts, OperatorSettings(group_size=rng.choice([None, 1, 2])))
     NIGHTS[:] = [model]
     model.drift(DRIFT_PPM)
@@ -264,7 +272,7 @@
     """Play some nights; return how many broke something."""
     happened: Counter[str] = Counter()
     broken = 0
-    late = []
+    late: list[LateStart] = []
     for seed in range(first, first + count):
         try:
             play(seed)
@@ -274,10 +282,13 @@
         model = NIGHTS[0]
         happened.update(model.happened)
         happened["starts"] += model.starts
-        late.extend(start.after_us / SECOND for start in model.late_starts)
-    print(
-        f"{count} nights, {broken} broken, {len(late)} starts after a cancellation, at most {max(late, default=0)} s"
-    )
+        late += model.late_starts
+        for start in model.late_starts:
+            print(f"night {seed}: {start.job}/{start.task} started {start.after_us / SECOND} s late", flush=True)
+    latest_s = max((start.after_us for start in late), default=0) / SECOND
+    print(f"{count} nights, {broken} broken, {len(late)} starts after a cancellation, at most {latest_s} s")
+    for way, times in sorted(Counter(start.way for start in late).items()):
+        print(f"  started late {way}: {times}")
     for what, times in sorted(happened.items()):
         print(f"  {what}: {times}")
     return broken
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -345,6 +345,7 @@
     assert first == LateStart("job-0", first.task, first.machine, first.after_us)
     assert first.machine in model.on["job-0", first.task]
     assert 0 < first.after_us <= model.now - told_us
+    assert first.way.endswith("sent before and executed before the confirmation")
 
 
 # Neglect
