--- /dev/null
+++ b/tests/mutants/mute_machines.py
@@ -0,0 +1,45 @@
+"""Mutants of what becomes of machines that no report, or no answer, gets through to."""
+
+TESTS = ["tests/test_meetings_mute_machines.py"]
+DESK, REVIEW = "ashtray/workers/desk.py", "ashtray/fleet/machine_review.py"
+FIRST_TEST = "tests/test_meetings_mute_machines.py::"
+
+MUTANTS: dict[str, tuple[str, str, str]] = {
+    "silent-workers-are-ordered-for-ever": (
+        DESK,
+        "if self.kernel.now_us - worker.heard_us > int(self.base.settings.cluster.workers.lease_s * SECOND_US):",
+        "if False:",
+    ),
+    "answers-to-direct-orders-teach-nothing": (
+        DESK,
+        "                self._learn(worker, heard)\n",
+        "                pass\n",
+    ),
+    "what-an-answer-tells-is-not-looked-at": (
+        DESK,
+        "                worker.again = True\n            return\n",
+        "            return\n",
+    ),
+    "silent-machines-are-kept": (REVIEW, "return Loss.SILENT if silent else None", "return None"),
+    "refused-orders-are-sent-again-at-once": (
+        DESK,
+        "worker.direct_bad_until_us = self.kernel.now_us + 10 * SECOND_US",
+        "worker.direct_bad_until_us = self.kernel.now_us",
+    ),
+}
+
+FIRST = {
+    "silent-workers-are-ordered-for-ever": [
+        FIRST_TEST + "test_a_mute_machine_that_cannot_be_deleted_is_not_ordered_for_ever"
+    ],
+    "answers-to-direct-orders-teach-nothing": [
+        FIRST_TEST + "test_what_has_ended_on_a_mute_machine_is_known_by_the_answer_to_an_order"
+    ],
+    "what-an-answer-tells-is-not-looked-at": [
+        FIRST_TEST + "test_what_has_ended_on_a_mute_machine_is_known_by_the_answer_to_an_order"
+    ],
+    "refused-orders-are-sent-again-at-once": [
+        FIRST_TEST + "test_machines_that_refuse_connections_get_their_orders_with_answers_and_few_calls"
+    ],
+}
+"""What states most directly what a mutant breaks."""
