--- a/tests/mutants/cached.py
+++ b/tests/mutants/cached.py
@@ -1,6 +1,6 @@
 """Mutants of what tells that a value which was kept is of use no longer."""
 
-TESTS = ["tests/test_growth.py"]
+TESTS = ["tests/test_growth.py", "tests/test_cluster_state.py"]
 GROUP_INDEX, MACHINE_GROUPS = "ashtray/placement/group_index.py", "ashtray/placement/machine_groups.py"
 TASK_INDEX, RULES = "ashtray/placement/task_index.py", "ashtray/placement/rules.py"
 
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -179,13 +179,13 @@
     ),
     "changed-rows-kept": (
         "ashtray/placement/compact_record.py",
-        "row = None if name in changed else kept.get(name)",
-        "row = kept.get(name)",
+        "row = None if name in changed else known.get(name)",
+        "row = known.get(name)",
     ),
     "tables-grow-for-ever": (
         "ashtray/placement/compact_record.py",
-        "if len(kinds) + len(images) > used + used // 4 + SPARE:",
-        "if False:",
+        "return len(self.kinds) + len(self.images) > used + used // 4 + SPARE",
+        "return False",
     ),
     "an-address-in-use-ends-it": (
         "ashtray/daemon/server.py",
