--- a/ashtray/lab/replay.py
+++ b/ashtray/lab/replay.py
@@ -16,7 +16,7 @@
 import sys
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from ashtray.estimates.learned import Estimates
 from ashtray.jobs.model import Job, JobRecord, JobSpec
@@ -24,9 +24,31 @@
 from ashtray.lab import traces
 from ashtray.lab.traces import Run
 
-LOOKS = (5, 10, 30, 100)
-AHEAD = 60
-"""So many tasks after each look are judged."""
+CHECKPOINTS = (5, 10, 30, 100)
+"""After so many completed tasks a learner is judged, and once more some time after two thirds of a trace."""
+TASKS_AHEAD = 60
+"""So many tasks after each checkpoint are predicted and compared with what they took."""
+TRACE_RUNS = 240
+"""How many tasks a trace has."""
+TASKS_EACH = 20
+"""So many tasks each machine runs before it is said which are slow."""
+
+
+class Judgement(NamedTuple):
+    """How good a learner's predictions were at a checkpoint."""
+
+    error: float
+    """The mean distance of the medians from the best that could be known, in the natural logarithm."""
+    within: float
+    """The share of the tasks, 0 to 1, that ended within the predicted 90th percentile."""
+
+
+class Summary(NamedTuple):
+    """The judgements of one learner at one checkpoint over all seeds."""
+
+    median_error: float
+    worst_error: float
+    median_within: float
 
 
 class Learner(Protocol):
@@ -35,7 +57,7 @@
     def learn(self, run: Run) -> None:
         """Take in a run that has ended."""
 
-    def say(self, run: Run) -> tuple[float, float]:
+    def predict(self, run: Run) -> tuple[float, float]:
         """Predict a run: its median and its 90th percentile, in seconds."""
         ...
 
@@ -46,13 +68,13 @@
     def learn(self, run: Run) -> None:
         """Take in a run that has ended."""
 
-    def say(self, run: Run) -> tuple[float, float]:
+    def predict(self, run: Run) -> tuple[float, float]:
         """Predict a run: its median and its 90th percentile, in seconds."""
         return run.expect_s, run.expect_s
 
 
 class Mean:
-    """A running mean of run times over estimates, for each class: what ashtray did before."""
+    """A running mean of run times over estimates, for each class: what ashtray did before it learnt distributions."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, float] = {}
@@ -63,7 +85,7 @@
         old = self._ratios.get(run.job_class, ratio)
         self._ratios[run.job_class] = old + 0.05 * (ratio - old)
 
-    def say(self, run: Run) -> tuple[float, float]:
+    def predict(self, run: Run) -> tuple[float, float]:
         """Predict a run: its median and its 90th percentile, in seconds."""
         found = run.expect_s * self._ratios.get(run.job_class, 1.2)
         return found, found
@@ -79,7 +101,7 @@
         """Take in a run that has ended."""
         self._last[run.job_class] = run.run_s
 
-    def say(self, run: Run) -> tuple[float, float]:
+    def predict(self, run: Run) -> tuple[float, float]:
         """Predict a run: its median and its 90th percentile, in seconds."""
         found = self._last.get(run.job_class, run.expect_s)
         return found, found
@@ -95,7 +117,7 @@
         """Take in a run that has ended."""
         self.estimates.ran(job_of(run), int(run.run_s * SECOND_US), run.machine)
 
-    def say(self, run: Run) -> tuple[float, float]:
+    def predict(self, run: Run) -> tuple[float, float]:
         """Predict a run: its median and its 90th percentile, in seconds."""
         found = self.estimates.estimate(job_of(run))
         return found.median_us / SECOND_US, found.p90_us / SECOND_US
@@ -105,7 +127,7 @@
 
 
 def job_of(run: Run) -> Job:
-    """The job of one task that a run of a trace stands for."""
+    """Return the job of one task that a run of a trace stands for."""
     spec = JobSpec(
         run.job_class,
         run.team,
@@ -124,24 +146,34 @@
     return job
 
 
-def judge(runs: list[Run], learner: Learner) -> dict[int, tuple[float, float]]:
-    """For each look the error of the median, and the share of what follows that ends within the p90."""
+def judge(runs: list[Run], learner: Learner) -> dict[int, Judgement]:
+    """Return, for each checkpoint that has tasks after it, how good the predictions of these were.
+
+    The one large job of a trace is learnt from, but not judged by.
+    """
+    late = 2 * len(runs) // 3 + 20
     found = {}
     for n, run in enumerate(runs):
-        if n in LOOKS or n == 2 * len(runs) // 3 + 20:
-            ahead = [after for after in runs[n:] if after.job != traces.LARGE][:AHEAD]
-            if not ahead:
-                continue
-            said = [learner.say(after) for after in ahead]
-            off = [abs(math.log(median / after.best_s)) for (median, _), after in zip(said, ahead, strict=True)]
-            within = [after.run_s <= p90 for (_, p90), after in zip(said, ahead, strict=True)]
-            found[n] = (statistics.fmean(off), statistics.fmean(within))
+        if n in CHECKPOINTS or n == late:
+            ahead = [after for after in runs[n:] if after.job != traces.LARGE][:TASKS_AHEAD]
+            if ahead:
+                found[n] = judge_predictions(ahead, learner)
         learner.learn(run)
     return found
 
 
+def judge_predictions(runs: list[Run], learner: Learner) -> Judgement:
+    """Compare what a learner predicts of some runs, at least one, with what they took."""
+    errors, within = [], []
+    for run in runs:
+        median_s, p90_s = learner.predict(run)
+        errors.append(abs(math.log(median_s / run.best_s)))
+        within.append(run.run_s <= p90_s)
+    return Judgement(statistics.fmean(errors), statistics.fmean(within))
+
+
 def accused(seeds: int, tasks: int) -> dict[str, float]:
-    """The share of slow machines found, and of healthy ones accused, after so many tasks each."""
+    """Return the shares of slow machines found, and of healthy ones accused, after so many tasks each."""
     found = healthy = 0
     for seed in range(seeds):
         learner = Learnt()
@@ -152,27 +184,75 @@
     return {"slow found": found / seeds, "healthy accused": healthy / seeds / 19}
 
 
-def table(kind: str, seeds: int, n: int = 240) -> dict[str, dict[str, tuple[float, float, float]]]:
-    """By learner and look: the median error, the worst, and the median share within the p90."""
-    rows: dict[str, dict[str, tuple[float, float, float]]] = {}
-    for name, make in LEARNERS.items():
-        by_look: dict[int, list[tuple[float, float]]] = {}
+def table(kind: str, seeds: int, n: int = TRACE_RUNS) -> dict[str, dict[str, Summary]]:
+    """Return, by learner and checkpoint, the judgements of traces of `n` runs from so many seeds."""
+    rows: dict[str, dict[str, Summary]] = {}
+    for name, make_learner in LEARNERS.items():
+        by_checkpoint: dict[int, list[Judgement]] = {}
         for seed in range(seeds):
-            for look, judged in judge(traces.make(kind, seed, n), make()).items():
-                by_look.setdefault(look, []).append(judged)
-        rows[name] = {
-            str(look): (
-                statistics.median(e for e, _ in all_),
-                max(e for e, _ in all_),
-                statistics.median(w for _, w in all_),
-            )
-            for look, all_ in by_look.items()
-        }
+            for checkpoint, judgement in judge(traces.make(kind, seed, n), make_learner()).items():
+                by_checkpoint.setdefault(checkpoint, []).append(judgement)
+        rows[name] = {str(checkpoint): summarize(found) for checkpoint, found in by_checkpoint.items()}
     return rows
 
 
-def main(argv: list[str] | None = None) -> int:
-    """Replay traces to all learners and print how far off they were; the exit code."""
+def summarize(judgements: list[Judgement]) -> Summary:
+    """Return the median and the worst error, and the median share within the 90th percentile."""
+    errors = [judgement.error for judgement in judgements]
+    return Summary(
+        statistics.median(errors),
+        max(errors),
+        statistics.median(judgement.within for judgement in judgements),
+    )
+
+
+def judge_file(path: Path) -> dict[str, dict[str, Summary]]:
+    """Return the same for the one trace in a Parquet file."""
+    runs = traces.load(path)
+    return {
+        name: {str(checkpoint): summarize([found]) for checkpoint, found in judge(runs, make_learner()).items()}
+        for name, make_learner in LEARNERS.items()
+    }
+
+
+def judge_kinds(kinds: list[str], seeds: int) -> dict[str, Any]:
+    """Return a table for each kind of trace and, with slow machines among them, what `accused` finds."""
+    found: dict[str, Any] = {}
+    for kind in kinds:
+        print(f"{kind} ...", file=sys.stderr)
+        found[kind] = table(kind, seeds)
+    if "slow-machine" in kinds:
+        found["machines"] = accused(seeds, TASKS_EACH)
+    return found
+
+
+def save_kinds(kinds: list[str], folder: Path) -> None:
+    """Write the first trace of each kind as a Parquet file."""
+    folder.mkdir(parents=True, exist_ok=True)
+    for kind in kinds:
+        traces.save(traces.make(kind, 0, TRACE_RUNS), folder / f"{kind}.parquet")
+
+
+def print_tables(found: dict[str, Any]) -> None:
+    """Print what `judge_kinds` or `judge_file` found, a row for each learner."""
+    for kind, rows in found.items():
+        if kind == "machines":
+            print(
+                f"after {TASKS_EACH} tasks each: {rows['slow found']:.0%} of slow machines found, "
+                f"{rows['healthy accused']:.1%} of healthy ones accused"
+            )
+            continue
+        print(kind)
+        for name, summaries in rows.items():
+            cells = "  ".join(
+                f"{checkpoint:>4}: {row.median_error:.2f} ({row.worst_error:.2f}) {row.median_within:.0%}"
+                for checkpoint, row in summaries.items()
+            )
+            print(f"  {name:7} {cells}")
+
+
+def parse_arguments(argv: list[str] | None) -> argparse.Namespace:
+    """Read the command line; ends the process with 2 if it cannot be used."""
     parser = argparse.ArgumentParser(
         prog="ashtray.lab.replay", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -181,40 +261,21 @@
     parser.add_argument("--json", action="store_true", help="print JSON")
     parser.add_argument("--save", type=Path, metavar="DIR", help="write each kind's first trace there as Parquet")
     parser.add_argument("--trace", type=Path, metavar="FILE", help="judge by a trace from a Parquet file")
-    args = parser.parse_args(argv)
+    return parser.parse_args(argv)
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Replay traces to all learners and print how far off they were; the exit code."""
+    args = parse_arguments(argv)
     kinds = args.kind or sorted(traces.KINDS)
     if args.save is not None:
-        args.save.mkdir(parents=True, exist_ok=True)
-        for kind in kinds:
-            traces.save(traces.make(kind, 0, 240), args.save / f"{kind}.parquet")
+        save_kinds(kinds, args.save)
         return 0
-    found: dict[str, Any] = {}
-    if args.trace is not None:
-        runs = traces.load(args.trace)
-        found[args.trace.name] = {
-            name: {str(look): (error, error, within) for look, (error, within) in judge(runs, make()).items()}
-            for name, make in LEARNERS.items()
-        }
-    else:
-        for kind in kinds:
-            print(f"{kind} ...", file=sys.stderr)
-            found[kind] = table(kind, args.seeds)
-        if "slow-machine" in kinds:
-            found["machines"] = accused(args.seeds, 20)
+    found = judge_kinds(kinds, args.seeds) if args.trace is None else {args.trace.name: judge_file(args.trace)}
     if args.json:
         print(json.dumps(found))
-        return 0
-    for kind, rows in found.items():
-        if kind == "machines":
-            print(
-                f"after 20 tasks each: {rows['slow found']:.0%} of slow machines found, "
-                f"{rows['healthy accused']:.1%} of healthy ones accused"
-            )
-            continue
-        print(kind)
-        for name, looks in rows.items():
-            cells = "  ".join(f"{look:>4}: {e:.2f} ({w:.2f}) {p:.0%}" for look, (e, w, p) in looks.items())
-            print(f"  {name:7} {cells}")
+    else:
+        print_tables(found)
     return 0
 
 
--- a/ashtray/lab/traces.py
+++ b/ashtray/lab/traces.py
@@ -1,6 +1,6 @@
 """Traces of jobs with known truth, from one seed, and as columnar files.
 
-Each kind is a small world: what a class's tasks really take, and what their owners say.  The truth is kept beside, so
+Each kind is a distribution of what tasks really take, and of what their owners say.  The truth is kept beside, so
 that an estimate can be judged by the best that could be known.
 """
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One task that ran to its end."""
+    """One task that ran to its end, with what its owner expected; times are in seconds."""
 
     job: str
     job_class: str
@@ -27,11 +27,13 @@
     best_s: float
     """The median of the true distribution, given what the owner said."""
     best_p90_s: float
+    """Its 90th percentile."""
 
 
 SIGMA, ERROR = 0.42, 0.4
 """Spread of run times and of owners' estimates, as logarithms: 95% of tasks run less than twice the median."""
 Z90 = 1.2816
+"""The 90th percentile of the standard normal distribution."""
 LARGE = "job-large"
 """The job that would drown all others; what it takes is no measure of what they take."""
 
@@ -48,17 +50,21 @@
     job_class: str = "pages",
     job: str | None = None,
 ) -> Run:
-    """A task of a log-normal class.  `error` None: the owner says the same whatever the task."""
+    """Draw a task of a class whose run times are log-normal with this median in seconds and spread `sigma`.
+
+    Its owner's estimate is off by the factor `bias` and by a spread of `error`; None: the owner says the same
+    whatever the task.  `factor` is how much longer the machine takes.
+    """
     run = median * math.exp(rng.gauss(0.0, sigma))
     if error is None:
-        expect, best, left = median * bias, median, sigma
+        expect, best, spread = median * bias, median, sigma
     else:
         expect = run * bias * math.exp(rng.gauss(0.0, error))
         weight = sigma**2 / (sigma**2 + error**2)
         best = median * math.exp(weight * math.log(expect / bias / median))
-        left = math.sqrt(weight) * error
+        spread = math.sqrt(weight) * error
     name = job or f"job-{n}"
-    return Run(name, job_class, "studio", "img", machine, expect, run * factor, best, best * math.exp(Z90 * left))
+    return Run(name, job_class, "studio", "img", machine, expect, run * factor, best, best * math.exp(Z90 * spread))
 
 
 def steady(rng: random.Random, n: int) -> Iterator[Run]:
@@ -129,7 +135,7 @@
 
 
 def make(kind: str, seed: int, n: int) -> list[Run]:
-    """A trace of `n` runs; the same kind and seed give the same trace."""
+    """Return a trace of `n` runs; the same kind and seed give the same trace."""
     return list(KINDS[kind](random.Random(f"{kind}/{seed}"), n))
 
 
