--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -231,14 +231,21 @@
             self.peers.on_word(request_id, body)
         elif path == announcements.PATH and method == "POST":
             self._on_cancellation_notice(request_id, body)
-        elif path == "/peer/request" and method == "POST" and isinstance(body, dict):
-            self._route(
-                request_id, str(body.get("method")), str(body.get("path")), body.get("body"), True, handed=True
-            )
+        elif path == "/peer/request" and method == "POST":
+            self._on_forwarded(request_id, body if readable else None)
         else:
             self.kernel.answer(request_id, 404, {"error": "no such path"})
         return self.kernel.run()
 
+    def _on_forwarded(self, request_id: int, body: Any) -> None:
+        """Answer a user's request that a peer has forwarded."""
+        if isinstance(body, dict):
+            method, path = str(body.get("method")), str(body.get("path"))
+            self._route(request_id, method, path, body.get("body"), True, handed=True)
+        else:
+            # The peer would relay 400 or 404 to a user whose job may be known (safety point 6).
+            self.kernel.answer(request_id, 503, {"error": "the forwarded request cannot be read"}, 1)
+
     def operator_request(
         self, now_us: int, wall_us: int, request_id: int, method: str, path: str, body: Any, readable: bool = True
     ) -> list[Output]:
