--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterable
+from functools import partial
 
 import msgspec
 
@@ -14,7 +15,13 @@
 from ashtray.placement.picture import TYPES, MachineType
 from ashtray.store.client import Txn, Urgency
 
+Types = dict[str, MachineType]
+"""Machine types by their names."""
+Change = tuple[str, Types | None]
+"""A key and its new record; None: the key is removed."""
 REFRESH_US = 60 * SECOND_US
+WRITE_AGAIN_US = 5 * SECOND_US
+"""The cloud is asked again so soon where the answer could not be written down."""
 
 
 class TypeCatalogue:
@@ -41,20 +48,52 @@
             self.kernel.log("error", "the cloud's machine types cannot be read")
             return
         self._read_us = self.kernel.now_us
-        if types != self.base.picture.types:
-            yield from self._write(types)
-
-    def _write(self, types: dict[str, MachineType]) -> Fiber[None]:
-        known = self.base.picture.types
-        value = {name: msgspec.to_builtins(machine_type) for name, machine_type in types.items()}
-        if self.base.limits.takes(compact_record.size_of(value)):
-            yield from self._put(TYPES, value)
-            return
-        # Larger than a value may be: each type has a record of its own.  An old record of all types is still read.
-        for name, fields in value.items():
-            if types[name] != known.get(name):
-                yield from self._put(f"{TYPES}/{name}", {name: fields})
-
-    def _put(self, key: str, value: dict[str, Any]) -> Fiber[None]:
-        txn = Txn().guard(key, self.base.picture.version(key)).put(key, value)
-        yield from self.base.follower.commit(lambda: txn, 1, Urgency.BOOKKEEPING, "fleet")
+        complete = self.base.picture.types_complete
+        if (types != self.base.picture.types or not complete) and not (yield from self._write(types)):
+            self._read_us -= REFRESH_US - WRITE_AGAIN_US
+
+    def _write(self, types: Types) -> Fiber[bool]:
+        """Write the records that differ, `TYPES` last; False: some are not written, or may not be."""
+        records = self._records(types)
+        known = self.base.picture.type_records()
+        # An empty record of all types says that each has one of its own, and that all of these are written: until
+        # then nobody may be refused because no type fits.
+        own = sorted(key for key in records if key != TYPES and records[key] != known.get(key))
+        if not (yield from self._commit({key: records[key] for key in own}, ())):
+            return False
+        gone = sorted(key for key in known if key not in records)
+        changed = {TYPES: records[TYPES]} if records[TYPES] != known.get(TYPES) else {}
+        return (yield from self._commit(changed, gone))
+
+    def _records(self, types: Types) -> dict[str, Types]:
+        """The records that say which types there are: one, or where that would be too large one for each as well."""
+        size = compact_record.size_of(msgspec.to_builtins(types))
+        if self.base.limits.takes(size):
+            return {TYPES: types}
+        return {TYPES: {}, **{f"{TYPES}/{name}": {name: machine_type} for name, machine_type in types.items()}}
+
+    def _commit(self, puts: dict[str, Types], removes: Iterable[str]) -> Fiber[bool]:
+        """Write and remove records, as many in a transaction as it takes; False: one of them failed."""
+        left: list[Change] = [*puts.items(), *((key, None) for key in removes)]
+        while left:
+            txn = self._transaction(left)
+            left = left[txn.changes() :]
+            build = partial(lambda txn: txn, txn)
+            if not (yield from self.base.follower.commit(build, txn.changes(), Urgency.BOOKKEEPING, "fleet")):
+                return False
+        return True
+
+    def _transaction(self, changes: list[Change]) -> Txn:
+        """The first of some changes, as many as fit into one transaction and at least one."""
+        txn, room = Txn(), self.base.limits.txn_bytes
+        for key, record in changes[: self.base.limits.ops]:
+            value = None if record is None else msgspec.to_builtins(record)
+            room -= 0 if value is None else compact_record.size_of(value)
+            if room < 0 and txn.changes():
+                break
+            txn.guard(key, self.base.picture.version(key))
+            if value is None:
+                txn.remove(key)
+            else:
+                txn.put(key, value)
+        return txn
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -80,20 +80,22 @@
         # It may have been accepted all the same: the retry will find out.
         return RetryLater("not accepted yet", 429 if status == 429 else 503)
 
-    def refusal(self, spec: JobSpec) -> str | None:
-        """Why a job can never run, if so."""
+    def _over_its_team(self, spec: JobSpec) -> str | None:
+        """Why a job's team can never run it, if so."""
         team = self.base.teams.get(spec.team)
         if team is None:
             return f"unknown team {spec.team}"
-        if not can_ever_run(team, spec):
-            return f"over the limit of team {spec.team}"
+        return None if can_ever_run(team, spec) else f"over the limit of team {spec.team}"
+
+    def _fits_a_type(self, spec: JobSpec) -> bool:
+        """Whether a task fits an empty machine of some allowed type that is known, in an allowed zone."""
         zones = set(self.base.settings.cluster.zones)
         for kind in self.base.picture.types.values():
             allowed = not spec.types or kind.name in spec.types
             there = spec.zone is None or spec.zone in kind.zones or (not kind.zones and spec.zone in zones)
             if allowed and there and kind.fits(spec.cpus, spec.gpus, spec.memory_gb):
-                return None
-        return "no allowed machine type fits a task"
+                return True
+        return False
 
     def _judge(self, spec: JobSpec, value: Any) -> Objection | None:
         """The objection that the job itself gives reason for."""
@@ -104,8 +106,15 @@
             return Refused(400, f"the description takes {size} bytes of its record, which has room for {room}")
         if not self.base.picture.types:
             return RetryLater("the machine types are not known yet")
-        reason = self.refusal(spec)
-        return None if reason is None else Refused(422, reason)
+        reason = self._over_its_team(spec)
+        if reason is not None:
+            return Refused(422, reason)
+        if self._fits_a_type(spec):
+            return None
+        if not self.base.picture.types_complete:
+            # It may fit a type that is not written down yet, and 422 is for good (safety point 6).
+            return RetryLater("not all machine types are known yet")
+        return Refused(422, "no allowed machine type fits a task")
 
     def _judge_needs(self, spec: JobSpec) -> Fiber[Objection | None]:
         """The objection that the jobs give reason for on which it waits."""
--- a/ashtray/placement/picture.py
+++ b/ashtray/placement/picture.py
@@ -441,6 +441,15 @@
         elif key.startswith(ESTIMATE):
             self.estimates.pop(key, None)
 
+    @property
+    def types_complete(self) -> bool:
+        """Whether all machine types are known: where each has a record of its own, `TYPES` is written last."""
+        return TYPES in self._types
+
+    def type_records(self) -> dict[str, dict[str, MachineType]]:
+        """The machine types by the records that they are in."""
+        return dict(self._types)
+
     def _types_changed(self) -> None:
         self.types = {name: kind for key in sorted(self._types) for name, kind in self._types[key].items()}
 
--- a/tests/test_meetings_close_looks.py
+++ b/tests/test_meetings_close_looks.py
@@ -16,17 +16,21 @@
 
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Call, Reply
+from ashtray.store.client import Urgency
 from tests.answer_history import FINAL, UNKNOWN, Heard, WentBack
 from tests.fakes.state import State
 from tests.interleavings import (
     ELSEWHERE,
     Action,
+    Chooser,
     Node,
     Play,
     cancel_at,
     explore,
     fold_by,
+    job_record,
     poll_at,
+    put,
     running_job,
     schedules_of,
     submit_at,
@@ -35,7 +39,7 @@
 from tests.meeting_model import Meeting, some
 from tests.model import SECOND, Host, RuleBroken
 from tests.model_troubles import Refusal
-from tests.test_meetings_answers import CloseUsers, Forgetful, lack_changes, told
+from tests.test_meetings_answers import CloseUsers, Forgetful, lack_changes, settle, told
 
 TROUBLED_S, CALM_S = 10.0, 25.0
 """How long troubles strike, and how long everything then has to end."""
@@ -45,6 +49,7 @@
 """So many records fit into a page: reading everything takes many requests."""
 SLOW_READ_US = 15_000
 JUST_STARTED_US = SECOND
+"""For so long a controller that has read everything for the first time counts as just started."""
 
 
 class Trouble(Enum):
@@ -79,12 +84,13 @@
         """Controllers whose next question for changes is answered with 410."""
         self.restarts_asked: set[int] = set()
         """Controllers of which the next peer that they forward a request to restarts."""
-        self.started_us: dict[int, int] = {}
+        self.loaded_us: dict[int, int] = {}
+        """When each controller's process was first seen to have read everything."""
         super().__init__(seed, hosts)
 
     def start_host(self, host: Host) -> None:
-        """Start a controller, and note when."""
-        self.started_us[host.number] = self.now
+        """Start a controller, which has read nothing yet."""
+        self.loaded_us.pop(host.number, None)
         super().start_host(host)
 
     def condition(self, number: int) -> str:
@@ -94,7 +100,9 @@
             return "down"
         if core.presence.leaving:
             return "handing over"
-        if self.now > JUST_STARTED_US and self.now - self.started_us[number] < JUST_STARTED_US:
+        if core.follower.loaded:
+            self.loaded_us.setdefault(number, self.now)
+        if self.now - self.loaded_us.get(number, self.now) < JUST_STARTED_US:
             return "just started" if core.follower.loaded else "starting"
         if not core.follower.loaded:
             return "reading anew"
@@ -183,8 +191,8 @@
 
         def answered(reply: Reply) -> None:
             if path == "/submissions" and reply.status in (200, 201):
-                known_us = self.jobs[body["name_id"]].known_us
-                if reply.status == 201 and known_us is not None and asked_us > known_us:
+                job = self.jobs[body["name_id"]]
+                if reply.status == 201 and job.known_us is not None and asked_us > job.known_us:
                     raise RuleBroken(f"went_back: {body['name_id']} is accepted anew")
                 self.happened[f"submission answered {reply.status}"] += 1
             then(reply)
@@ -384,3 +392,28 @@
 def test_an_end_is_known_to_one_that_reads_everything_anew_in_any_order():
     answers = around_a_reload(lambda: running_job(2, 1), poll_at(1), fold_by(0, 1), poll_at(1))
     assert answers == {"poll: running", "poll: 503", "poll: done"}
+
+
+def test_a_final_state_that_was_absent_before_everything_is_read_anew_is_looked_for_again():
+    play = Play(forgetful(world)(), 2, [], Chooser([]))
+    put(play.state, LIVE + "job-1", job_record("job-1", pieces=1))
+    node = play.nodes[0]
+    # As one that looks for the jobs before another one: the job is live, so there is no final state.
+    node.core.kernel.spawn(node.core.jobs.states._read_final("job-1", Urgency.PLACE))
+    play._carry_out(node, node.core.kernel.run())
+    read = play.pending[0]
+    play._execute(read)
+    assert read.reply is not None and read.reply.status == 404
+    lack_changes(play)
+    play.ask("poll", 0, "GET", "/submissions/job-2", job_id="job-2")
+    play._arrive(play.pending[1])
+    assert not node.core.follower.loaded
+    # The job ends before the first page is read: neither the pages nor the changes after them have its end.
+    over = {"put": OVER + "job-1", "value": {"status": "done", "done": 1, "at_us": 1}}
+    play.state.handle(0, "POST", "/txn", {"apply": [{"remove": LIVE + "job-1"}, over]})
+    play._arrive(read)
+    settle(play)
+    assert node.core.follower.loaded
+    play.ask("poll", 0, "GET", "/submissions/job-1")
+    settle(play)
+    assert play.ending() == ("poll: done",)
