--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -159,6 +159,36 @@
     assert "ran_twice 2" in accept.read("a day", report, log, None).failed(0.0)
 
 
+CANCELLED_LOG = """   10.0 berth-0 INFO job-1 accepted (array of 30, panel, reader-app)
+   10.1 berth-0 INFO job-2 accepted (array of 30, panel, reader-app)
+   10.2 berth-0 INFO job-3 accepted (array of 30, panel, reader-app)
+   10.3 berth-0 INFO job-4 accepted (array of 30, panel, reader-app)
+   12.0 berth-0 INFO job-1 attempt 1: 1 on vm-1
+   20.0 berth-0 INFO job-1 cancelled
+   21.0 berth-0 INFO job-2 cancelled
+   22.0 berth-0 INFO job-2 is done
+  300.0 berth-0 INFO job-3 cancelled
+  400.0 berth-1 INFO job-4 attempt 1: 30 on vm-1
+"""
+
+
+def test_a_cancelled_job_is_owed_to_nobody_unless_it_was_done_or_waited_too_long(tmp_path: Path) -> None:
+    accept = load("accept")
+    report, log = tmp_path / "report.json", tmp_path / "report.log"
+    panel = {"jobs": 4, "started": 2, "done": 1, "tasks": 120}
+    report.write_text(json.dumps({**REPORT, "classes": {"panel": panel}}))
+    log.write_text(CANCELLED_LOG)
+    day = accept.read("a day", report, log, None)
+    found = {part.name: part for part in day.parts}
+    # Of the four jobs the first alone is not owed; the third waited for 290 s, the fourth began after 390 s.
+    assert found["panel"].called_off == 1 and found["panel"].share() == pytest.approx(1 / 3)
+    assert (found["largest panel"].jobs, found["largest panel"].share()) == (3, pytest.approx(1 / 3))
+    assert found["largest panel, begun"].share() == 0.0
+    assert "panel 1 of 4 (1 called off): 0.33" in accept.table([day], 0.5, 0.6)
+    # Without the log nobody knows which jobs were cancelled: all are owed.
+    assert accept.read("a day", report, None, None).parts[0].share() == 0.25
+
+
 def test_the_stages_of_a_start_are_read_from_the_log() -> None:
     takeover = load("takeover")
     lines, falls = takeover.read(LOG)
--- a/tools/accept.py
+++ b/tools/accept.py
@@ -23,6 +23,9 @@
 the largest: the top tenth and the top quarter are looked at, and the worse of both counts.  A job that came less than
 four minutes before the day's last line, and has not begun, is not counted as one that began late.
 
+A job that its user cancels cannot be done: the log's lines tell which were cancelled, and those are not owed.  One
+that was done all the same is, and so is one that had waited for four minutes by then.  Without a log all are owed.
+
 Exit codes: 0 every day passed, 1 one failed, 2 the command line or a file cannot be used.
 """
 
@@ -46,6 +49,7 @@
 ACCEPTED = re.compile(r"INFO (job-\d+) accepted \(\S+ of (\d+), (\S+), ")
 PLACED = re.compile(r"INFO (job-\d+) attempt ")
 DONE = re.compile(r"INFO (job-\d+) is done$")
+CANCELLED = re.compile(r"INFO (job-\d+) cancelled$")
 BEGIN_S = 240.0
 """The largest jobs of a class are to begin within that."""
 LARGEST = (0.1, 0.25)
@@ -89,10 +93,14 @@
     done: int | None
     tasks: int = 0
     tasks_done: int | None = None
+    called_off: int = 0
+    """Of the jobs: those that their users cancelled, that were not done, and that had not waited too long before."""
 
     def share(self) -> float:
-        """The share of the jobs that were done or, where their ends are not counted, that were started."""
-        return (self.started if self.done is None else self.done) / self.jobs
+        """The share, of the jobs that were not called off, that was done or, where ends are not counted, started."""
+        owed = self.jobs - self.called_off
+        served = self.started if self.done is None else self.done
+        return served / owed if owed else 1.0
 
 
 @dataclass
@@ -214,6 +222,7 @@
     data = json.loads(report.read_text(encoding="utf-8"))
     tasks: dict[str, tuple[int, str]] = {}
     done: set[str] = set()
+    cancelled_s: dict[str, float] = {}
     came_s: dict[str, float] = {}
     begun_s: dict[str, float] = {}
     last_s = 0.0
@@ -228,14 +237,18 @@
             begun_s.setdefault(found[1], last_s)
         elif found := DONE.search(line):
             done.add(found[1])
+        elif found := CANCELLED.search(line):
+            cancelled_s.setdefault(found[1], last_s)
+    off = called_off(cancelled_s, done, came_s, begun_s)
     parts = []
     for name, row in data["classes"].items():
         if row["jobs"]:
             known = [tasks[job][0] for job in done if job in tasks and tasks[job][1] == name]
             # Of a version that does not say of small jobs that they are done nothing is known by tasks.
             by_tasks = sum(known) if tasks and len(known) >= 0.8 * row["done"] else None
-            parts.append(Part(name, row["jobs"], row["started"], row["done"], row["tasks"], by_tasks))
-            sizes = {job: n for job, (n, of) in tasks.items() if of == name}
+            of_class = sum(tasks[job][1] == name for job in off)
+            parts.append(Part(name, row["jobs"], row["started"], row["done"], row["tasks"], by_tasks, of_class))
+            sizes = {job: n for job, (n, of) in tasks.items() if of == name and job not in off}
             parts += largest(name, sizes, came_s, begun_s, done, last_s)
     for name, row in data["teams"].items():
         if row["jobs"]:
@@ -260,6 +273,17 @@
     )
 
 
+def called_off(
+    cancelled_s: dict[str, float], done: set[str], came_s: dict[str, float], begun_s: dict[str, float]
+) -> set[str]:
+    """The jobs that nobody is owed: cancelled, not done, and not left waiting for as long as the largest may be."""
+    return {
+        job
+        for job, at_s in cancelled_s.items()
+        if job in came_s and job not in done and min(at_s, begun_s.get(job, at_s)) - came_s[job] < BEGIN_S
+    }
+
+
 def largest(
     name: str,
     tasks: dict[str, int],
@@ -314,7 +338,8 @@
             by_tasks = "" if part.tasks_done is None else f", tasks {part.tasks_done / max(part.tasks, 1):.2f}"
             count = part.started if part.done is None else part.done
             mark = " (under the aim)" if part.done is not None and part.share() < aim else ""
-            text = f"{part.name} {count} of {part.jobs}: {part.share():.2f}{by_tasks}{mark}"
+            off = f" ({part.called_off} called off)" if part.called_off else ""
+            text = f"{part.name} {count} of {part.jobs}{off}: {part.share():.2f}{by_tasks}{mark}"
             said.append(f"**{text}**" if part is least else text)
         failed = day.failed(floor)
         verdict = f"FAILS: {', '.join(failed)}" if failed else "passes"
