--- a/tests/mutants/mute_machines.py
+++ b/tests/mutants/mute_machines.py
@@ -2,6 +2,7 @@
 
 TESTS = ["tests/test_meetings_mute_machines.py"]
 DESK, REVIEW = "ashtray/workers/desk.py", "ashtray/fleet/machine_review.py"
+DELIVERY = "ashtray/workers/order_delivery.py"
 FIRST_TEST = "tests/test_meetings_mute_machines.py::"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
@@ -11,19 +12,19 @@
         "if False:",
     ),
     "answers-to-direct-orders-teach-nothing": (
-        DESK,
-        "                self._learn(worker, heard)\n",
-        "                pass\n",
+        DELIVERY,
+        "            self._heard(worker, report)\n",
+        "            pass\n",
     ),
     "what-an-answer-tells-is-not-looked-at": (
         DESK,
-        "                worker.again = True\n            return\n",
-        "            return\n",
+        "        worker.again = True\n        if not worker.tending:\n            self.tend(worker)\n",
+        "",
     ),
     "silent-machines-are-kept": (REVIEW, "return Loss.SILENT if silent else None", "return None"),
     "refused-orders-are-sent-again-at-once": (
-        DESK,
-        "worker.direct_bad_until_us = self.kernel.now_us + 10 * SECOND_US",
+        DELIVERY,
+        "worker.direct_bad_until_us = self.kernel.now_us + BAD_US",
         "worker.direct_bad_until_us = self.kernel.now_us",
     ),
 }
--- a/tests/test_meetings_lost_answers.py
+++ b/tests/test_meetings_lost_answers.py
@@ -20,7 +20,6 @@
 from tests.test_meetings_transactions import (
     FREE,
     KINDS,
-    NEVER_S,
     PASSED,
     Fate,
     Kind,
