--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -153,14 +153,18 @@
         Silence counts only over time in which this process ran itself and had messages from its peers.  Workers that
         report to a live controller that sends none are not silent: it cannot say that it hears them.
         """
+        # Only the runner is told who hears which worker: peers need some time to say so to a new one.
+        mute = self.peers.mute()
+        until = min(self.kernel.now_us, self.peers.all_word_us(mute))
+        informed = until - self._term_us > INFORMED_WORDS * self.peers.word_us
+        return self._silences(mute, until, informed)
+
+    def _silences(self, mute: set[str], until: int, informed: bool) -> dict[str, int]:
+        """The silences (us) up to a moment; only where `informed` does what the predecessor told count."""
         now = self.kernel.now_us
         presence = self.presence
-        mute = self.peers.mute()
-        until = min(now, self.peers.all_word_us(mute))
         heard = self.peers.last_heard()
         awake_us = self.kernel.awake_us
-        # Only the runner is told who hears which worker: peers need some time to say so to a new one.
-        informed = until - self._term_us > INFORMED_WORDS * self.peers.word_us
         found = {}
         for name, machine in self.base.picture.machines.items():
             last = max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)
@@ -171,6 +175,12 @@
         return found
 
     def quiet(self) -> dict[str, int]:
-        """The silences (us) of machines that have missed reports, for the successor of this runner."""
+        """The silences (us) of machines that have missed reports, for the successor of this runner.
+
+        What the predecessor told is passed on at once, also where peers have not had the time yet to tell this runner
+        whom they hear: a successor waits for their word before it relies on it (safety point 12).
+        """
         quiet_us = QUIET_REPORTS * self.base.settings.cluster.workers.report_s * SECOND_US
-        return {name: us for name, us in self.silences().items() if us > quiet_us}
+        mute = self.peers.mute()
+        silences = self._silences(mute, min(self.kernel.now_us, self.peers.all_word_us(mute)), informed=True)
+        return {name: us for name, us in silences.items() if us > quiet_us}
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -1,7 +1,8 @@
 """Mutants of what holds while limits, cancellations and old reports meet changes of owner and leader."""
 
-TESTS = [f"tests/test_meetings_{name}.py" for name in ("team_limits",)]
-REVIEW = "ashtray/fleet/machine_review.py"
+TESTS = [f"tests/test_meetings_{name}.py" for name in ("handovers", "team_limits")]
+REVIEW, INVENTORY = "ashtray/fleet/machine_review.py", "ashtray/fleet/machine_inventory.py"
+FLEET_LEASE, DESK = "ashtray/fleet/fleet_lease.py", "ashtray/workers/desk.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "cancelled-tasks-wait-while-most-are-silent": (
@@ -14,4 +15,24 @@
         "if len(silent) > max(FEW_MACHINES, len(self.base.picture.machines) // 2):",
         "if False:",
     ),
+    "told-silence-is-not-passed-on": (
+        INVENTORY,
+        "min(self.kernel.now_us, self.peers.all_word_us(mute)), informed=True)",
+        "min(self.kernel.now_us, self.peers.all_word_us(mute)), informed=False)",
+    ),
+    "silent-since-before-all-ended": (
+        INVENTORY,
+        "max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)",
+        "max(heard.get(name, 0), min(self.known_since.setdefault(name, now), 0))",
+    ),
+    "fleet-taken-from-a-live-runner": (
+        FLEET_LEASE,
+        "return is_own_host or (first and holder in self.presence.notice.away)",
+        "return is_own_host or first",
+    ),
+    "a-zone-cut-off-is-renewed-for-ever": (
+        DESK,
+        "if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):",
+        "if False:",
+    ),
 }
