--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -1,6 +1,6 @@
 """Mutants of what holds while limits, cancellations and old reports meet changes of owner and leader."""
 
-TESTS = [f"tests/test_meetings_{name}.py" for name in ("handovers", "team_limits")]
+TESTS = [f"tests/test_meetings_{name}.py" for name in ("kept_reports", "handovers", "team_limits")]
 REVIEW, INVENTORY = "ashtray/fleet/machine_review.py", "ashtray/fleet/machine_inventory.py"
 FLEET_LEASE, DESK = "ashtray/fleet/fleet_lease.py", "ashtray/workers/desk.py"
 
@@ -35,4 +35,6 @@
         "if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):",
         "if False:",
     ),
+    "any-report-is-proof": (DESK, "worker.exact = report.token == worker.token", "worker.exact = True"),
+    "copies-add-machines": (DESK, "if report.token == 0 or worker.exact:", "if True:"),
 }
