--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -1,6 +1,6 @@
 """Mutants of what holds while limits, cancellations and old reports meet changes of owner and leader."""
 
-TESTS = [f"tests/test_meetings_{name}.py" for name in ("kept_reports", "handovers", "team_limits")]
+TESTS = [f"tests/test_meetings_{name}.py" for name in ("cut_leader", "kept_reports", "handovers", "team_limits")]
 REVIEW, INVENTORY = "ashtray/fleet/machine_review.py", "ashtray/fleet/machine_inventory.py"
 FLEET_LEASE, DESK = "ashtray/fleet/fleet_lease.py", "ashtray/workers/desk.py"
 
@@ -37,4 +37,14 @@
     ),
     "any-report-is-proof": (DESK, "worker.exact = report.token == worker.token", "worker.exact = True"),
     "copies-add-machines": (DESK, "if report.token == 0 or worker.exact:", "if True:"),
+    "leases-renewed-for-twice-as-long": (
+        "ashtray/workers/renewal.py",
+        "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
+        "return now_us - self.informed_us(now_us, read_us) <= 2 * self.bound_us",
+    ),
+    "a-process-states-what-it-has-not-followed": (
+        "ashtray/jobs/cancellations.py",
+        "if max(followed_from, self._dropped_revision) > beyond:",
+        "if self._dropped_revision > beyond:",
+    ),
 }
