--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -1,7 +1,8 @@
 """Mutants of what holds while limits, cancellations and old reports meet changes of owner and leader."""
 
-TESTS = [f"tests/test_meetings_{name}.py" for name in ("team_limits",)]
-REVIEW = "ashtray/fleet/machine_review.py"
+TESTS = [f"tests/test_meetings_{name}.py" for name in ("cut_leader", "kept_reports", "handovers", "team_limits")]
+REVIEW, INVENTORY = "ashtray/fleet/machine_review.py", "ashtray/fleet/machine_inventory.py"
+FLEET_LEASE, DESK = "ashtray/fleet/fleet_lease.py", "ashtray/workers/desk.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "cancelled-tasks-wait-while-most-are-silent": (
@@ -14,4 +15,36 @@
         "if len(silent) > max(FEW_MACHINES, len(self.base.picture.machines) // 2):",
         "if False:",
     ),
+    "told-silence-is-not-passed-on": (
+        INVENTORY,
+        "min(self.kernel.now_us, self.peers.all_word_us(mute)), informed=True)",
+        "min(self.kernel.now_us, self.peers.all_word_us(mute)), informed=False)",
+    ),
+    "silent-since-before-all-ended": (
+        INVENTORY,
+        "max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)",
+        "max(heard.get(name, 0), min(self.known_since.setdefault(name, now), 0))",
+    ),
+    "fleet-taken-from-a-live-runner": (
+        FLEET_LEASE,
+        "return is_own_host or (first and holder in self.presence.notice.away)",
+        "return is_own_host or first",
+    ),
+    "a-zone-cut-off-is-renewed-for-ever": (
+        DESK,
+        "if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):",
+        "if False:",
+    ),
+    "any-report-is-proof": (DESK, "worker.exact = report.token == worker.token", "worker.exact = True"),
+    "copies-add-machines": (DESK, "if report.token == 0 or worker.exact:", "if True:"),
+    "leases-renewed-for-twice-as-long": (
+        "ashtray/workers/renewal.py",
+        "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
+        "return now_us - self.informed_us(now_us, read_us) <= 2 * self.bound_us",
+    ),
+    "a-process-states-what-it-has-not-followed": (
+        "ashtray/jobs/cancellations.py",
+        "if max(followed_from, self._dropped_revision) > beyond:",
+        "if self._dropped_revision > beyond:",
+    ),
 }
