--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -24,6 +24,7 @@
         "returns",
         "model",
         "record_tables",
+        "needs",
     )
 ]
 FOLDING, DESK = "ashtray/workers/folding.py", "ashtray/workers/desk.py"
@@ -422,9 +423,7 @@
         "tests/test_bad_nights.py::test_requests_to_the_state_service_do_not_grow_with_the_questions"
     ],
     "started-before-ready": ["tests/test_pipelines.py"],
-    "unknown-counts-as-done": [
-        "tests/test_pipelines.py::test_what_is_needed_and_ended_before_all_restarted_is_read_again"
-    ],
+    "unknown-counts-as-done": ["tests/test_needs.py"],
     "cancellation-stays": [
         "tests/test_pipelines.py::test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved"
     ],
