--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -19,6 +19,7 @@
 
 Objection = Refused | RetryLater
 """Why a job is not accepted: for good, or for now."""
+NO_TYPE_FITS = "no allowed machine type fits a task"
 
 
 class Submitting:
@@ -80,12 +81,14 @@
         # It may have been accepted all the same: the retry will find out.
         return RetryLater("not accepted yet", 429 if status == 429 else 503)
 
-    def _over_its_team(self, spec: JobSpec) -> str | None:
-        """Why a job's team can never run it, if so."""
+    def refusal(self, spec: JobSpec) -> str | None:
+        """Why a job can never run, if so, as far as the machine types are known."""
         team = self.base.teams.get(spec.team)
         if team is None:
             return f"unknown team {spec.team}"
-        return None if can_ever_run(team, spec) else f"over the limit of team {spec.team}"
+        if not can_ever_run(team, spec):
+            return f"over the limit of team {spec.team}"
+        return None if self._fits_a_type(spec) else NO_TYPE_FITS
 
     def _fits_a_type(self, spec: JobSpec) -> bool:
         """Whether a task fits an empty machine of some allowed type that is known, in an allowed zone."""
@@ -106,15 +109,11 @@
             return Refused(400, f"the description takes {size} bytes of its record, which has room for {room}")
         if not self.base.picture.types:
             return RetryLater("the machine types are not known yet")
-        reason = self._over_its_team(spec)
-        if reason is not None:
-            return Refused(422, reason)
-        if self._fits_a_type(spec):
-            return None
-        if not self.base.picture.types_complete:
+        reason = self.refusal(spec)
+        if reason == NO_TYPE_FITS and not self.base.picture.types_complete:
             # It may fit a type that is not written down yet, and 422 is for good (safety point 6).
             return RetryLater("not all machine types are known yet")
-        return Refused(422, "no allowed machine type fits a task")
+        return None if reason is None else Refused(422, reason)
 
     def _judge_needs(self, spec: JobSpec) -> Fiber[Objection | None]:
         """The objection that the jobs give reason for on which it waits."""
--- a/tests/mutants/close_looks.py
+++ b/tests/mutants/close_looks.py
@@ -7,7 +7,7 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "refused-before-all-types-are-written": (
         SUBMITTING,
-        "if not self.base.picture.types_complete:",
+        "if reason == NO_TYPE_FITS and not self.base.picture.types_complete:",
         "if False:",
     ),
     "all-types-said-first": (TYPES, "for key in records if key != TYPES and", "for key in records if"),
