--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -1,4 +1,4 @@
-"""The ordered rules: validators drop machines, preferences rank what is left.  Lower scores are better."""
+"""The ordered rules of placement: validators drop machines, preferences rank the others.  Lower scores are better."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Room:
-    """A machine with the room that is left on it in the plan being made."""
+    """A machine with the room that remains on it in the plan being made."""
 
     machine: Machine
     type: MachineType
@@ -25,10 +25,10 @@
     gpus: float
     memory_gb: float
     blame: int = 0
-    """How much speaks for a fault of the machine."""
+    """How much speaks for a fault of the machine: see `machine_health.machine_blame`."""
 
     def fits(self, spec: JobSpec) -> int:
-        """How many tasks of a job fit."""
+        """Return how many tasks of a job fit, at most as many as it has."""
         # Asked for each machine and job: plain comparisons take half the time that `min` takes.
         most: float = spec.tasks
         if spec.cpus > 0:
@@ -46,6 +46,7 @@
         return int(most)
 
     def take(self, spec: JobSpec, count: int) -> None:
+        """Take the room for so many tasks of a job."""
         self.cpus -= count * spec.cpus
         self.gpus -= count * spec.gpus
         self.memory_gb -= count * spec.memory_gb
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class Ask:
-    """One job's wish for a machine, with what its other tasks already settle."""
+    """One job's request for machines, with what its other tasks already settle."""
 
     spec: JobSpec
     zone: str | None = None
@@ -64,21 +65,24 @@
     image_within_s: float | None = None
     """Only machines that have the image, or fetch it within this time, will do."""
     scarcity: tuple[float, float, float] = (1.0, 1.0, 1.0)
+    """How scarce CPUs, GPUs and memory are, as weights."""
     spare_gpus: bool = False
-    """Tasks that are as urgent wait for GPUs."""
+    """Whether tasks that are as urgent wait for GPUs."""
     failed_on: frozenset[str] = frozenset()
     """Machines on which the job has failed."""
     priority: int = 2
+    """0 is the most urgent."""
     hold_bytes: int = 0
-    """What a hold for it takes of a record."""
+    """What an allocation for it takes of a record."""
     sparing: bool = False
-    """Changes of the state service are scarce."""
+    """Whether changes of the state service are scarce."""
     due: set[str] = field(default_factory=set)
     """Groups whose records will be written anyway."""
     few: dict[str, int] = field(default_factory=dict)
     """For each group how many records would have to be written more if all were like it: 0 for those that are due."""
 
     def zone_allows(self, zone: str) -> int:
+        """Return how many more of the job's tasks a zone may take."""
         if self.zone_room is None:
             return self.spec.tasks
         return self.zone_room.get(zone, self.spread_most)
@@ -86,20 +90,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Validator:
+    """A rule that says whether a machine will do at all."""
+
     name: str
     reason: str
+    """Why a machine will not do, for `explain`."""
     holds: Callable[[Room, Ask], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class Preference:
+    """A rule that scores machines; the lower the better."""
+
     name: str
+    """By which the operators' file orders the rules."""
     reason: str
+    """Why a machine has a score above 0, for `explain`."""
     score: Callable[[Room, Ask, OperatorSettings], float]
 
 
 def fetch_s(room: Room, ask: Ask) -> float:
-    """How long the machine would take to fetch the image."""
+    """Return how many seconds the machine would take to fetch the job's image."""
     if ask.spec.image in room.machine.images:
         return 0.0
     return ask.spec.image_gb / max(room.type.fetch_gb_per_s, 0.001)
@@ -148,17 +159,17 @@
 
 
 def packing_score(room: Room, ask: Ask) -> float:
-    """Best fit: scarcity times what stays free, scaled to 0..1 by the size of the machine."""
-    left = whole = 0.0
+    """Return what one task would leave free, weighted by scarcity and scaled to 0..1 by the size of the machine."""
+    remaining = whole = 0.0
     for weight, free, need, size in (
         (ask.scarcity[0], room.cpus, ask.spec.cpus, room.type.cpus),
         (ask.scarcity[1], room.gpus, ask.spec.gpus, room.type.gpus),
         (ask.scarcity[2], room.memory_gb, ask.spec.memory_gb, room.type.memory_gb),
     ):
         if size > 0:
-            left += weight * max(free - need, 0.0) / size
+            remaining += weight * max(free - need, 0.0) / size
             whole += weight
-    return left / whole if whole else 0.0
+    return remaining / whole if whole else 0.0
 
 
 def _packing(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
@@ -166,6 +177,7 @@
 
 
 FEW_GROUPS = "few-groups"
+"""The preference for groups that can take many of the tasks, so that few records are written."""
 
 
 def _few_groups(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
@@ -192,10 +204,11 @@
 
 
 def valid(room: Room, ask: Ask) -> bool:
+    """Return whether all validators hold for a machine."""
     return all(rule.holds(room, ask) for rule in VALIDATORS)
 
 
-class _Kind:
+class _EqualRooms:
     """Machines of one ranking that no rule tells apart, but for the group that each is in."""
 
     __slots__ = ("example", "fits", "peers")
@@ -209,16 +222,33 @@
 
 
 def rank(rooms: list[Room], ask: Ask, count: int, knobs: OperatorSettings, rng: random.Random) -> list[Room]:
-    """Filter, then rank strictly; among equals the order is random.  Equal machines share one verdict.
+    """Return the machines that will do, the best first; among equals the order is random.
 
-    After each machine come first those of its group that no rule up to `few-groups` tells from it: a commit costs
-    a change for each group.
+    `count` is how many tasks are to be placed.  `ask.few` is filled in.  Equal machines are judged once.  After each
+    machine come first those of its group that no rule up to `few-groups` tells from it: a commit costs a change for
+    each group.
     """
+    judged, fits = _judge(rooms, ask)
+    few = ask.few = {group: 0 if group in ask.due else -(-count // min(fit, count)) for group, fit in fits.items()}
     rules = [PREFERENCES[name] for name in knobs.rules]
-    kinds: dict[Any, _Kind] = {}
+    by_score: dict[tuple[float, ...], list[tuple[float, Room]]] = {}
+    for room, kind in judged:
+        number = few[room.machine.group]
+        peers = kind.peers.get(number)
+        if peers is None:
+            score = tuple(rule.score(room, ask, knobs) for rule in rules)
+            peers = kind.peers[number] = by_score.setdefault(score, [])
+        peers.append((rng.random(), room))
+    upto = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
+    return _in_order(by_score, upto)
+
+
+def _judge(rooms: list[Room], ask: Ask) -> tuple[list[tuple[Room, _EqualRooms]], dict[str, int]]:
+    """Return the machines that will do, each with its equals, and how many tasks fit into each group."""
+    kinds: dict[Any, _EqualRooms] = {}
     image, failed_on = ask.spec.image, ask.failed_on
     fits: dict[str, int] = {}
-    judged: list[tuple[Room, _Kind]] = []
+    judged: list[tuple[Room, _EqualRooms]] = []
     for room in rooms:
         machine = room.machine
         key = (
@@ -232,30 +262,28 @@
         )
         kind = kinds.get(key)
         if kind is None:
-            kind = kinds[key] = _Kind(room, ask)
+            kind = kinds[key] = _EqualRooms(room, ask)
         if kind.fits:
             judged.append((room, kind))
             fits[machine.group] = fits.get(machine.group, 0) + kind.fits
-    few = ask.few = {group: 0 if group in ask.due else -(-count // min(fit, count)) for group, fit in fits.items()}
-    by_score: dict[tuple[float, ...], list[tuple[float, Room]]] = {}
-    for room, kind in judged:
-        number = few[room.machine.group]
-        peers = kind.peers.get(number)
-        if peers is None:
-            score = tuple(rule.score(room, ask, knobs) for rule in rules)
-            peers = kind.peers[number] = by_score.setdefault(score, [])
-        peers.append((rng.random(), room))
-    upto = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
+    return judged, fits
+
+
+def _in_order(by_score: dict[tuple[float, ...], list[tuple[float, Room]]], upto: int) -> list[Room]:
+    """Return the machines by score, and among equals by their random numbers.
+
+    With `upto`, those that have the first `upto` scores in common come group by group.
+    """
     ranked: list[Room] = []
     # Scores that are alike up to `few-groups` follow one another.
     for _, scores in groupby(sorted(by_score), key=lambda score: score[:upto] if upto else score):
         entries = [entry for score in scores for entry in sorted(by_score[score], key=_chance)]
         if upto:
             # The first of each group stands where it was ranked: a dict keeps its order.
-            companies: dict[str, list[Room]] = {}
+            by_group: dict[str, list[Room]] = {}
             for _, room in entries:
-                companies.setdefault(room.machine.group, []).append(room)
-            ranked += chain.from_iterable(companies.values())
+                by_group.setdefault(room.machine.group, []).append(room)
+            ranked += chain.from_iterable(by_group.values())
         else:
             ranked += [room for _, room in entries]
     return ranked
--- a/ashtray/workers/messages.py
+++ b/ashtray/workers/messages.py
@@ -1,4 +1,7 @@
-"""The workers' wire: reports in, tokens and orders out."""
+"""Messages between controllers and workers: reports in, tokens and orders out.
+
+The fields of `Hello` and `PieceState`, and the keys of orders, are the protocol's words.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +20,8 @@
 
 
 class PieceState(msgspec.Struct):
+    """What a report says of one task, in the words of the protocol."""
+
     piece: str
     attempt: U64 = msgspec.field(name="try")
     status: Literal["fetching", "waiting", "running", "saving", "ended"]
@@ -25,6 +30,8 @@
 
 
 class Hello(msgspec.Struct):
+    """A worker's report, in the words of the protocol."""
+
     berth: Annotated[str, msgspec.Meta(min_length=1, max_length=100, pattern="^[!-~]+$")]
     endpoint: Annotated[str, msgspec.Meta(max_length=100)]
     hull: Annotated[str, msgspec.Meta(min_length=1, max_length=80, pattern="^[!-~]+$")]
@@ -49,15 +56,21 @@
 
 
 class Report(msgspec.Struct):
+    """A checked report of the worker on one machine."""
+
     machine: str
     address: str
     type: str
     zone: str
     spot: bool
     session: int
+    """Starts at 1, and grows each time the worker's lease expires."""
     tick: int
+    """Grows with each report and each answer to a controller's request: of one session the larger is the newer."""
     token: int
+    """The highest ownership token that the worker has seen."""
     notice_us: int | None
+    """In how many microseconds the cloud takes the machine away; None: it has given no notice."""
     tasks: dict[TaskKey, TaskState]
 
 
@@ -99,20 +112,25 @@
 
 
 def launch(key: TaskKey) -> dict[str, Any]:
+    """Return the order to start a task."""
     return {"verb": "launch", "piece": f"{key[0]}/{key[2]}", "try": key[1]}
 
 
 def kill(key: TaskKey, grace_us: int) -> dict[str, Any]:
+    """Return the order to stop a task, which gets `grace_us` microseconds to save."""
     return {"verb": "kill", "piece": f"{key[0]}/{key[2]}", "try": key[1], "wind_down_s": grace_us / SECOND_US}
 
 
 def clear(key: TaskKey) -> dict[str, Any]:
+    """Return the order to leave a task that has ended out of the reports."""
     return {"verb": "clear", "piece": f"{key[0]}/{key[2]}", "try": key[1]}
 
 
 def orders_body(token: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return a direct command; a worker executes it only in this session, and if it has seen no higher token."""
     return {"baton": token, "shift": session, "orders": orders}
 
 
 def report_answer(token: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the answer to a report, with the orders that its worker is to carry out."""
     return {"baton": token, "orders": orders}
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -1,8 +1,8 @@
-"""Groups whose records are too large are split, before lower limits of the state service come or after.
+"""Splitting groups whose records are too large, before lower limits of the state service come or after.
 
 Another version, or other settings, may have written records up to a limit that no longer holds.  Such a record can
-be read and removed, but not written: not even a smaller one, as long as what is left is too large.  Until it is split
-nothing on its machines can be folded, signed or returned.
+be read and removed, but not written: not even a smaller one, as long as what remains is too large.  Until it is split
+nothing on its machines can be freed, taken over by another owner or returned.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ashtray.base import Base
 from ashtray.kernel import SECOND_US, Fiber, Sleep
 from ashtray.peers.presence import Presence
-from ashtray.placement import compact_record as lean
+from ashtray.placement import compact_record
 from ashtray.placement.cluster_state import Picture
 from ashtray.placement.machine_groups import Group
 from ashtray.placement.state_keys import GROUP, split_key
@@ -22,6 +22,9 @@
 from ashtray.workers.folding import FULL_SHARE, group_size
 
 LOOK_US = SECOND_US // 4
+"""The pause between two looks for groups to be split, in microseconds."""
+MOST_KEYS = 200
+"""So many keys are tried for a new group that this controller is to look after."""
 SPLIT_SHARE = 0.8
 """A group that takes more of a value is split: nothing more is placed there, and there is to be room to fold."""
 RUNS_SHARE = 0.5
@@ -30,21 +33,24 @@
 
 @dataclass
 class Piece:
-    """What goes into one new record."""
+    """What of a group goes into one new record."""
 
     group: Group
     machines: dict[str, Any] = field(default_factory=dict)
+    """By name, each machine's part of the group's record in full form."""
     done: dict[str, str] = field(default_factory=dict)
+    """For each job its completed tasks, as runs."""
 
     def value(self) -> dict[str, Any]:
+        """Return the new record, in compact form."""
         value: dict[str, Any] = {"type": self.group.type, "zone": self.group.zone, "machines": self.machines}
         if self.done:
             value["done"] = self.done
-        return lean.pack(value)
+        return compact_record.pack(value)
 
 
 def _done_parts(job_id: str, tasks: set[int], most: int) -> list[str]:
-    """A job's completed tasks as runs of so many bytes at most."""
+    """Return a job's completed tasks as texts of runs, each of `most` bytes at the most or of one run."""
     parts: list[str] = []
     part: list[str] = []
     size = 0
@@ -58,32 +64,61 @@
 
 
 def pieces(picture: Picture, group: Group, limits: Limits) -> list[Piece]:
-    """A group cut into what fits: first the completed tasks, job by job, then its machines by name.
+    """Return a group cut into what fits: first the completed tasks, job by job, then its machines by name.
 
     A machine that is too large by itself gets a record of its own, to be written once enough of it has ended.
     """
-    most = int(limits.value_bytes * FULL_SHARE)
-    count = group_size(picture.types.get(group.type), limits)
     cut = [Piece(group)]
-    upto = picture.moved.get(group.key, ("", ""))[1]
+    _cut_done(cut, picture, limits)
+    _cut_machines(cut, picture, limits)
+    return [piece for piece in cut if piece.machines or piece.done]
+
+
+def _cut_done(cut: list[Piece], picture: Picture, limits: Limits) -> None:
+    """Add the completed tasks of live jobs that have not moved yet to the last piece, and to new ones after it."""
+    group = cut[-1].group
+    most = int(limits.value_bytes * FULL_SHARE)
+    most_of_job = int(limits.value_bytes * RUNS_SHARE)
+    moved_upto = picture.moved.get(group.key, ("", ""))[1]
     for job_id, tasks in sorted(group.done.items()):
-        if job_id <= upto or not picture.is_live(job_id):
+        if job_id <= moved_upto or not picture.is_live(job_id):
             continue
-        for runs in _done_parts(job_id, tasks, int(limits.value_bytes * RUNS_SHARE)):
+        for runs in _done_parts(job_id, tasks, most_of_job):
             if job_id in cut[-1].done:
                 cut.append(Piece(group))
             cut[-1].done[job_id] = runs
-            if lean.size_of(cut[-1].value()) > most and len(cut[-1].done) > 1:
+            if compact_record.size_of(cut[-1].value()) > most and len(cut[-1].done) > 1:
                 del cut[-1].done[job_id]
                 cut.append(Piece(group, done={job_id: runs}))
+
+
+def _cut_machines(cut: list[Piece], picture: Picture, limits: Limits) -> None:
+    """Add the machines to the last piece, and to new ones after it."""
+    group = cut[-1].group
+    most = int(limits.value_bytes * FULL_SHARE)
+    count = group_size(picture.types.get(group.type), limits)
     for name in sorted(group.machines):
         raw = group.machines[name].raw
         cut[-1].machines[name] = raw
-        crowded = len(cut[-1].machines) > count or lean.size_of(cut[-1].value()) > most
+        crowded = len(cut[-1].machines) > count or compact_record.size_of(cut[-1].value()) > most
         if crowded and (len(cut[-1].machines) > 1 or cut[-1].done):
             del cut[-1].machines[name]
             cut.append(Piece(group, {name: raw}))
-    return [piece for piece in cut if piece.machines or piece.done]
+
+
+def split_mark(moved: list[Piece], rest: list[Piece], known: tuple[str, str]) -> dict[str, str]:
+    """Return the record that says how far a group is split once the pieces `moved` have records of their own.
+
+    `rest` are the pieces still to come, and `known` is the machine and the job up to which it has been split so far.
+    """
+    machines = [name for piece in moved for name in piece.machines]
+    jobs = [job_id for piece in moved for job_id in piece.done]
+    known_machine, known_job = known
+    last_job = max(jobs, default=known_job)
+    if not machines and rest and last_job in rest[0].done:
+        # The rest of this job's completed tasks comes with the next step: what is said twice stays true.
+        last_job = max((job for job in jobs if job != last_job), default=known_job)
+    return {"machine": max(machines, default=known_machine), "job": last_job}
 
 
 class Splitter:
@@ -95,6 +130,7 @@
         self.presence = presence
 
     def run(self) -> Fiber[None]:
+        """Split the groups that are due once, then wait for `LOOK_US`."""
         base = self.base
         if not base.limits.lean or not base.follower.loaded or not self.presence.incarnation:
             yield Sleep(LOOK_US)
@@ -113,23 +149,24 @@
         yield Sleep(LOOK_US)
 
     def due(self) -> list[Group]:
-        """The groups to be split, those begun first, then the largest."""
+        """Return the groups to be split, those begun first, then the largest."""
         base = self.base
         most = base.limits.value_bytes * SPLIT_SHARE
-        groups = [
-            group
-            for group in base.picture.groups.values()
-            if (group.moving or (group.size > most and (len(group.machines) > 1 or group.packed is None)))
-            and self.presence.foreman(group.key) == base.settings.host_name
-        ]
+        groups = []
+        for group in base.picture.groups.values():
+            too_large = group.size > most and (len(group.machines) > 1 or group.packed is None)
+            if (group.moving or too_large) and self.presence.foreman(group.key) == base.settings.host_name:
+                groups.append(group)
         return sorted(groups, key=lambda group: (not group.moving, -group.size))
 
     def _key(self, base: str, taken: set[str]) -> str:
-        """The key of a new group, such that its workers stay with this controller: another one would have to sign
-        each of them."""
+        """Return the key of a new group, such that its workers stay with this controller if possible.
+
+        Another one would have to take over each of them.
+        """
         presence, picture = self.presence, self.base.picture
         key = base
-        for n in range(200):
+        for n in range(MOST_KEYS):
             key = f"{base}+{n}"
             if key in taken or picture.version(key):
                 continue
@@ -138,48 +175,54 @@
         return key
 
     def split(self, key: str) -> Txn | None:
-        """One step: all at once where a transaction takes it, else as many machines as it takes.
+        """Return one step: all at once where a transaction takes it, else as many machines as it takes.
 
         In the latter case another record says up to which machine that is; the old one stays as it is until it can be
         removed.  Machines that were moved count in their new groups only.  See `docs/design.md`, safety, point 16.
+        None: there is nothing to be split, or a machine is too large alone and has to wait until enough has ended on
+        it.
         """
         picture, limits = self.base.picture, self.base.limits
         group = picture.groups.get(key)
-        if group is None or not self.base.limits.lean:
+        if group is None or not limits.lean:
             return None
-        cut = pieces(picture, group, limits)
-        ops = limits.ops
         txn = Txn().guard(key, group.version)
-        lock = split_key(key)
-        base = f"{GROUP}{group.type}.{group.zone}."
-        if not group.moving and len(cut) <= ops:
-            # The record keeps the last piece; in lean form that may be all of it.
-            *others, last = cut
-            txn.guard(lock, 0).put(key, last.value())
-            if not limits.takes(lean.size_of(last.value()), len(last.machines) == 1):
-                return None
-        elif len(cut) <= ops - 2:
-            others = cut
-            txn.guard(lock, picture.version(lock)).remove(key)
+        moved = self._change_old_record(txn, group, pieces(picture, group, limits))
+        if moved is None or not self._add_new_records(txn, group, moved):
+            return None
+        return txn
+
+    def _change_old_record(self, txn: Txn, group: Group, cut: list[Piece]) -> list[Piece] | None:
+        """Add what becomes of the old record; returns the pieces for new ones, None if it would be too large."""
+        picture, limits = self.base.picture, self.base.limits
+        lock = split_key(group.key)
+        if not group.moving and len(cut) <= limits.ops:
+            # The record keeps the last piece; in compact form that may be all of it.
+            *moved, last = cut
+            txn.guard(lock, 0).put(group.key, last.value())
+            return moved if _may_be_written(last, limits) else None
+        if len(cut) <= limits.ops - 2:
+            txn.guard(lock, picture.version(lock)).remove(group.key)
             if group.moving:
                 txn.remove(lock)
-        else:
-            others = cut[: ops - 1]
-            machines = [name for piece in others for name in piece.machines]
-            jobs = [job_id for piece in others for job_id in piece.done]
-            known = picture.moved.get(key, ("", ""))
-            last_job = max(jobs, default=known[1])
-            if not machines and len(cut) > len(others) and last_job in cut[len(others)].done:
-                # The rest of this job's completed tasks comes with the next step: what is said twice stays true.
-                last_job = max((job for job in jobs if job != last_job), default=known[1])
-            mark = {"machine": max(machines, default=known[0]), "job": last_job}
-            txn.guard(lock, picture.version(lock)).put(lock, mark)
+            return cut
+        moved, rest = cut[: limits.ops - 1], cut[limits.ops - 1 :]
+        mark = split_mark(moved, rest, picture.moved.get(group.key, ("", "")))
+        txn.guard(lock, picture.version(lock)).put(lock, mark)
+        return moved
+
+    def _add_new_records(self, txn: Txn, group: Group, moved: list[Piece]) -> bool:
+        """Add new groups for these pieces; False if one of them is too large."""
+        base = f"{GROUP}{group.type}.{group.zone}."
         taken: set[str] = set()
-        for piece in others:
-            if not limits.takes(lean.size_of(piece.value()), len(piece.machines) == 1):
-                # One machine that is too large alone: it has to wait until enough has ended there.
-                return None
-            new = self._key(base + next(iter(piece.machines), key.rpartition(".")[2]), taken)
-            taken.add(new)
-            txn.guard(new, 0).put(new, piece.value())
-        return txn
+        for piece in moved:
+            if not _may_be_written(piece, self.base.limits):
+                return False
+            key = self._key(base + next(iter(piece.machines), group.key.rpartition(".")[2]), taken)
+            taken.add(key)
+            txn.guard(key, 0).put(key, piece.value())
+        return True
+
+
+def _may_be_written(piece: Piece, limits: Limits) -> bool:
+    return limits.takes(compact_record.size_of(piece.value()), len(piece.machines) == 1)
