--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -27,7 +27,7 @@
 from ashtray.placement.placer import Placer
 from ashtray.placement.plan import Planner
 from ashtray.placement.queue_order import StatedTimes
-from ashtray.standby.notice import Notice
+from ashtray.standby.failure_detector import FailureDetector
 from ashtray.store.client import VALUE_SHARE, Limits, StoreClient
 from ashtray.store.follower import Follower
 from ashtray.teams.grants import Grants
@@ -75,10 +75,15 @@
         )
         times = StatedTimes(settings.cluster.objectives, pace)
         planner = Planner(base, times, MinimumShare(self.picture, pace))
-        self.presence = Presence(base, self.grants, Notice(hosts, word_us(len(hosts))))
+        self.presence = Presence(base, self.grants, FailureDetector(hosts, word_us(len(hosts))))
         self.renewal = RenewalGuard(settings.cluster.workers, hosts)
         self.peers = Peers(
-            base, self.presence, lambda: self.desk.heard_us(), lambda: self._duties_moved(), self._peer_stated
+            base,
+            self.presence,
+            lambda: self.desk.heard_us(),
+            lambda: self._duties_moved(),
+            self._peer_stated,
+            lambda cancelled: self.desk.delivery.settle(cancelled),
         )
         self.desk = Desk(base, self.presence, self.peers, pace, self.renewal)
         self.placer = Placer(base, self.presence, self.grants, pace, planner, self.desk)
@@ -111,6 +116,11 @@
         if self.follower.loaded:
             # What is not read yet is read later than this cancellation.
             self._cancelled_elsewhere(notice.cancelled)
+        self.kernel.spawn(self._answer_when_settled(request_id, notice.cancelled))
+
+    def _answer_when_settled(self, request_id: int, cancelled: list[str]) -> Fiber[None]:
+        """Answer a peer's notice once no worker that reports here can start tasks of these jobs, or soon after."""
+        yield from self.desk.delivery.settle(cancelled)
         self.kernel.answer(request_id, 200, {})
 
     def _changed(self) -> None:
@@ -231,14 +241,21 @@
             self.peers.on_word(request_id, body)
         elif path == announcements.PATH and method == "POST":
             self._on_cancellation_notice(request_id, body)
-        elif path == "/peer/request" and method == "POST" and isinstance(body, dict):
-            self._route(
-                request_id, str(body.get("method")), str(body.get("path")), body.get("body"), True, handed=True
-            )
+        elif path == "/peer/request" and method == "POST":
+            self._on_forwarded(request_id, body if readable else None)
         else:
             self.kernel.answer(request_id, 404, {"error": "no such path"})
         return self.kernel.run()
 
+    def _on_forwarded(self, request_id: int, body: Any) -> None:
+        """Answer a user's request that a peer has forwarded."""
+        if isinstance(body, dict):
+            method, path = str(body.get("method")), str(body.get("path"))
+            self._route(request_id, method, path, body.get("body"), True, handed=True)
+        else:
+            # The peer would relay 400 or 404 to a user whose job may be known (safety point 6).
+            self.kernel.answer(request_id, 503, {"error": "the forwarded request cannot be read"}, 1)
+
     def operator_request(
         self, now_us: int, wall_us: int, request_id: int, method: str, path: str, body: Any, readable: bool = True
     ) -> list[Output]:
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -58,6 +58,7 @@
         """The pending machines that are given up; those that have reported are pending no longer."""
         now_us = self.kernel.now_us
         pending_machines = self.inventory.pending
+        heard = self.inventory.heard_within(self._lease_us) if pending_machines else set()
         lost: list[str] = []
         freed: set[MachineKind] = set()
         for name, pending in list(pending_machines.items()):
@@ -66,10 +67,10 @@
                 del pending_machines[name]
                 continue
             late = self.boot_times.hopeless(pending.kind, pending.requested_us, now_us)
-            if not late and pending.kind not in freed and self._blocks_replacement(pending):
+            if not late and name not in heard and pending.kind not in freed and self._blocks_replacement(pending):
                 late = True
                 freed.add(pending.kind)
-            if not self._given_up(name, pending, late):
+            if not self._given_up(name, pending, late, name in heard):
                 continue
             self.kernel.log("info", f"{name} never reported: given up")
             lost.append(name)
@@ -78,8 +79,13 @@
                 self.backoff.clear(pending.kind)
         return lost
 
-    def _given_up(self, name: str, pending: PendingMachine, late: bool) -> bool:
-        """Whether a pending machine is too late, runs without reporting, or is gone in the cloud."""
+    def _given_up(self, name: str, pending: PendingMachine, late: bool, heard: bool) -> bool:
+        """Whether a pending machine is too late, runs without reporting, or is gone in the cloud.
+
+        One that some controller hears is up, however late the transaction that gives it a record.
+        """
+        if heard:
+            return self.inventory.listed.get(name) == FAILED
         now_us = self.kernel.now_us
         too_late = late and not pending.running
         mute = pending.running and now_us - pending.running_us > self._lease_us
@@ -125,9 +131,19 @@
         silent = {name for name, us in silence_us.items() if us > self._lease_us + SILENT_US}
         # When most of the fleet falls silent at once, the fault is likelier on this side.
         if len(silent) > max(FEW_MACHINES, len(self.base.picture.machines) // 2):
-            return {name for name in silent if silence_us[name] > UNSURE_LEASES * self._lease_us}
+            unsure_us = UNSURE_LEASES * self._lease_us
+            return {name for name in silent if silence_us[name] > unsure_us or self._holds_cancelled_tasks(name)}
         return silent
 
+    def _holds_cancelled_tasks(self, name: str) -> bool:
+        """Whether a machine's record lists tasks of jobs that are over.
+
+        On a machine that hangs only its deletion surely ends them, and `cancel_s` may be less than the leases that
+        others are waited for (safety points 1 and 5).
+        """
+        picture = self.base.picture
+        return any(picture.is_over(hold.job) for hold in picture.machines[name].holds)
+
     def _fails_tasks(self, machine: Machine) -> bool:
         return bool(machine.record.failed) and self.base.picture.blame(machine) >= SICK
 
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -15,6 +15,7 @@
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import Picture
 from ashtray.placement.minimum_share import MinimumShare
+from ashtray.placement.prospects import Prospects
 from ashtray.placement.queue_order import StatedTimes
 from ashtray.placement.records import EPS
 from ashtray.placement.rules import Ask, Room, rank
@@ -52,7 +53,7 @@
     by_team: dict[str, list[Job]] = {team.name: [] for team in teams.values() if team.cpus or team.gpus}
     if by_team:
         for job in picture.jobs.values():
-            if job.spec.team in by_team and picture.needs.ready(job):
+            if job.spec.team in by_team and picture.dependencies.ready(job):
                 by_team[job.spec.team].append(job)
         for name, jobs in by_team.items():
             jobs.sort(key=lambda job: (job.ready_us, job.id))
@@ -167,6 +168,7 @@
         self._no_soon: dict[Demand, int] = {}
         """For demands, how many tasks did not even find room that is being made."""
         self._excess: Excess | None = None
+        self.prospects = Prospects(picture, teams)
         self.visits = 0
         """Rooms looked at closely: what the work of a plan grows with."""
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -9,6 +9,7 @@
 import pytest
 
 TOOLS = Path(__file__).resolve().parent.parent / "tools"
+ALL_SETS = ["short", "standard", "returns", "hard", "meetings", "meetings-large"]
 SITE = """name = "a-fleet"
 [nodes]
 count = 5
@@ -121,12 +122,16 @@
     (tmp_path / "wire.json").write_text("{}")
     site = tmp_path / "a-fleet.toml"
     site.write_text(SITE)
-    for row in accept.rows_of(accept.MATRIX, ["short", "standard", "returns", "hard"], []):
+    for row in accept.rows_of(accept.MATRIX, ALL_SETS, []):
         _, day = accept.make(site, row, tmp_path / "out")
         if row.day.endswith(".toml"):
             assert "@" not in Path(day).read_text(), row.name
     assert 'class = "panel"' in (tmp_path / "out" / "fourfold.toml").read_text()
     assert "count = 278" in (tmp_path / "out" / "dead.toml").read_text()
+    # The last row of a day is the one that stays: of the days of meetings that at half as many machines again.
+    limits = (tmp_path / "out" / "limits-and-hangs.toml").read_text()
+    assert 'kind = "machine_cut", count = 90' in limits and 'kind = "cancel_now", count = 40' in limits
+    assert 'zone = "z", for_s = 6.0' in (tmp_path / "out" / "looks-in-handover.toml").read_text()
 
 
 def test_a_class_under_half_fails_a_day_and_the_least_is_marked(tmp_path: Path) -> None:
@@ -154,6 +159,36 @@
     assert "ran_twice 2" in accept.read("a day", report, log, None).failed(0.0)
 
 
+CANCELLED_LOG = """   10.0 berth-0 INFO job-1 accepted (array of 30, panel, reader-app)
+   10.1 berth-0 INFO job-2 accepted (array of 30, panel, reader-app)
+   10.2 berth-0 INFO job-3 accepted (array of 30, panel, reader-app)
+   10.3 berth-0 INFO job-4 accepted (array of 30, panel, reader-app)
+   12.0 berth-0 INFO job-1 attempt 1: 1 on vm-1
+   20.0 berth-0 INFO job-1 cancelled
+   21.0 berth-0 INFO job-2 cancelled
+   22.0 berth-0 INFO job-2 is done
+  300.0 berth-0 INFO job-3 cancelled
+  400.0 berth-1 INFO job-4 attempt 1: 30 on vm-1
+"""
+
+
+def test_a_cancelled_job_is_owed_to_nobody_unless_it_was_done_or_waited_too_long(tmp_path: Path) -> None:
+    accept = load("accept")
+    report, log = tmp_path / "report.json", tmp_path / "report.log"
+    panel = {"jobs": 4, "started": 2, "done": 1, "tasks": 120}
+    report.write_text(json.dumps({**REPORT, "classes": {"panel": panel}}))
+    log.write_text(CANCELLED_LOG)
+    day = accept.read("a day", report, log, None)
+    found = {part.name: part for part in day.parts}
+    # Of the four jobs the first alone is not owed; the third waited for 290 s, the fourth began after 390 s.
+    assert found["panel"].called_off == 1 and found["panel"].share() == pytest.approx(1 / 3)
+    assert (found["largest panel"].jobs, found["largest panel"].share()) == (3, pytest.approx(1 / 3))
+    assert found["largest panel, begun"].share() == 0.0
+    assert "panel 1 of 4 (1 called off): 0.33" in accept.table([day], 0.5, 0.6)
+    # Without the log nobody knows which jobs were cancelled: all are owed.
+    assert accept.read("a day", report, None, None).parts[0].share() == 0.25
+
+
 def test_the_stages_of_a_start_are_read_from_the_log() -> None:
     takeover = load("takeover")
     lines, falls = takeover.read(LOG)
