--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -20,7 +20,7 @@
 from ashtray.jobs.service import JobService
 from ashtray.kernel import SECOND_US, Fiber, Kernel, Output, Reply
 from ashtray.peers import announcements
-from ashtray.peers.announcements import CancellationNotice
+from ashtray.peers.announcements import CancellationNotice, CancellationReceipt
 from ashtray.peers.presence import Peers, Presence, word_us
 from ashtray.placement.cluster_state import Picture
 from ashtray.placement.minimum_share import MinimumShare
@@ -84,6 +84,7 @@
             lambda: self._duties_moved(),
             self._peer_stated,
             lambda cancelled: self.desk.delivery.settle(cancelled),
+            lambda job_id, settled: self.desk.delivery.void_elsewhere(job_id, settled),
         )
         self.desk = Desk(base, self.presence, self.peers, pace, self.renewal)
         self.placer = Placer(base, self.presence, self.grants, pace, planner, self.desk)
@@ -120,8 +121,8 @@
 
     def _answer_when_settled(self, request_id: int, cancelled: list[str]) -> Fiber[None]:
         """Answer a peer's notice once no worker that reports here can start tasks of these jobs, or soon after."""
-        yield from self.desk.delivery.settle(cancelled)
-        self.kernel.answer(request_id, 200, {})
+        settled = yield from self.desk.delivery.settle(cancelled)
+        self.kernel.answer(request_id, 200, msgspec.to_builtins(CancellationReceipt(settled)))
 
     def _changed(self) -> None:
         self.limits.refused = self.store.refused
--- a/ashtray/peers/announcements.py
+++ b/ashtray/peers/announcements.py
@@ -10,11 +10,11 @@
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Annotated
+from typing import Annotated, Any
 
 import msgspec
 
-from ashtray.kernel import Call, Fiber, Kernel, Signal, Sleep, Wait
+from ashtray.kernel import Call, Fiber, Kernel, Reply, Signal, Sleep, Wait
 
 PATH = "/peer/cancelled"
 BATCH_US = 3_000
@@ -29,12 +29,21 @@
     cancelled: list[Annotated[str, msgspec.Meta(max_length=100)]]
 
 
+class CancellationReceipt(msgspec.Struct, omit_defaults=True):
+    """A peer's answer to a notice."""
+
+    settled: list[str] = []
+    """The machines that report to the peer and can't start a task of these jobs any more."""
+
+
 @dataclass
 class _Batch:
     """Cancellations that go out together."""
 
     job_ids: list[str] = field(default_factory=list)
     unanswered: int = 0
+    settled: set[str] = field(default_factory=set)
+    """The machines that a controller answers for."""
     answered: Signal = field(default_factory=Signal)
     """Fired when all peers have answered or failed to."""
 
@@ -46,16 +55,21 @@
         self,
         kernel: Kernel,
         addresses: Iterable[str],
-        settle: Callable[[list[str]], Fiber[None]] | None = None,
+        settle: Callable[[list[str]], Fiber[list[str]]] | None = None,
+        void_elsewhere: Callable[[str, set[str]], Fiber[None]] | None = None,
     ) -> None:
-        """`settle` returns, soon in any case, once no worker that reports here can start tasks of cancelled jobs."""
+        """`settle` returns, soon in any case, once no worker that reports here can start tasks of cancelled jobs.
+
+        `void_elsewhere` does what it can for the machines that no controller answers for.
+        """
         self._kernel = kernel
         self._addresses = list(addresses)
         self._settle = settle
+        self._void_elsewhere = void_elsewhere
         self._open: _Batch | None = None
 
     def announce(self, job_id: str) -> Fiber[None]:
-        """Tell all peers that a job's cancellation is committed; returns once they know, or after `PATIENCE_US`.
+        """Tell all peers that a job's cancellation is committed; returns once they know, or soon after `PATIENCE_US`.
 
         By then no start of its tasks is on its way from this controller, or from a peer that has answered.
         """
@@ -65,6 +79,8 @@
         batch = self._open
         batch.job_ids.append(job_id)
         yield Wait(batch.answered, BATCH_US + PATIENCE_US)
+        if self._void_elsewhere is not None:
+            yield from self._void_elsewhere(job_id, batch.settled)
 
     def _send(self, batch: _Batch) -> Fiber[None]:
         yield Sleep(BATCH_US)
@@ -73,14 +89,24 @@
         for address in self._addresses:
             self._kernel.spawn(self._tell(address, batch))
         if self._settle is not None:
-            yield from self._settle(batch.job_ids)
+            batch.settled.update((yield from self._settle(batch.job_ids)))
         self._count_answer(batch)
 
     def _tell(self, address: str, batch: _Batch) -> Fiber[None]:
-        yield Call(address, "POST", PATH, {"cancelled": batch.job_ids}, PATIENCE_US)
+        reply: Reply = yield Call(address, "POST", PATH, {"cancelled": batch.job_ids}, PATIENCE_US)
+        if reply.status == 200:
+            batch.settled.update(settled_machines(reply.body))
         self._count_answer(batch)
 
     def _count_answer(self, batch: _Batch) -> None:
         batch.unanswered -= 1
         if not batch.unanswered:
             self._kernel.fire(batch.answered)
+
+
+def settled_machines(body: Any) -> list[str]:
+    """The machines that a peer answers for; none where its answer is malformed."""
+    try:
+        return msgspec.convert(body, CancellationReceipt).settled
+    except msgspec.ValidationError:
+        return []
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -259,7 +259,8 @@
         reports: Callable[[], dict[str, int]],
         moved: Callable[[], None] = lambda: None,
         stated: Callable[[str, int, list[str]], None] = lambda host, asked_us, cancelled: None,
-        settle: Callable[[list[str]], Fiber[None]] | None = None,
+        settle: Callable[[list[str]], Fiber[list[str]]] | None = None,
+        void_elsewhere: Callable[[str, set[str]], Fiber[None]] | None = None,
     ) -> None:
         """Tell peers what this controller knows, and take in what they say.
 
@@ -277,7 +278,8 @@
         self._stated = stated
         self._reports = reports
         self.peers = {p.host_name: PeerState(p.host_name, p.peer_addr) for p in base.settings.others}
-        self.announcer = CancellationAnnouncer(base.kernel, [peer.address for peer in self.peers.values()], settle)
+        addresses = [peer.address for peer in self.peers.values()]
+        self.announcer = CancellationAnnouncer(base.kernel, addresses, settle, void_elsewhere)
         self.word_us = self.failure_detector.heartbeat_interval_us
         self._doubts: set[str] = set()
         """Whom this controller doubted when it last looked."""
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -47,7 +47,7 @@
         self.peers = peers
         self.pace = pace
         self.workers: dict[str, Worker] = {}
-        self.delivery = OrderDelivery(base, self.workers, self._claim_anew, self._on_order_answer)
+        self.delivery = OrderDelivery(base, self.workers, self._next_token, self._on_order_answer)
         self._counter = 0
         self._fold_kick = Signal()
         self._dirty: dict[str, set[str]] = {}
@@ -384,11 +384,6 @@
             worker.settled = (machine, report)
         return orders
 
-    def _claim_anew(self, worker: Worker) -> None:
-        """Claim a worker with a higher token: nothing of it is believed until a report carries that."""
-        worker.token = self._next_token(worker.token)
-        worker.exact = False
-
     def _on_order_answer(self, worker: Worker, report: Report) -> None:
         """Learn from the report in the answer to a direct order, which tells nothing of what went out in answers."""
         self._learn(worker, report, direct=True)
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -13,8 +13,9 @@
 
 from ashtray.base import Base
 from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Signal, Wait
+from ashtray.placement.machine_groups import Machine
 from ashtray.workers import messages
-from ashtray.workers.messages import Report, TaskKey
+from ashtray.workers.messages import Report, TaskKey, TaskState
 from ashtray.workers.worker import OrdersUnderway, Worker
 
 ANSWER_US = 1_500_000
@@ -28,6 +29,13 @@
 SETTLE_US = 250_000
 """A cancellation waits no longer than this until nothing of its job can start here any more."""
 
+UNHEARD_US = 100_000
+"""How long a machine that does not report here has for each answer."""
+ELSEWHERE_US = 250_000
+"""A cancellation waits no longer than this for the machines that no controller answers for."""
+MOST_ELSEWHERE = 32
+"""So many of them are asked for each cancellation."""
+
 
 class OrderDelivery:
     """Sends orders to workers, one message to each at a time."""
@@ -36,14 +44,14 @@
         self,
         base: Base,
         workers: dict[str, Worker],
-        claim: Callable[[Worker], None],
+        next_token: Callable[[int], int],
         heard: Callable[[Worker, Report], None],
     ) -> None:
-        """`claim` gives a worker a new, higher token; `heard` takes the report in an order's answer."""
+        """`next_token` returns a new token above another; `heard` takes the report in an order's answer."""
         self.base = base
         self.kernel = base.kernel
         self.workers = workers
-        self._claim = claim
+        self._next_token = next_token
         self._heard = heard
         self.learnt = Signal()
         """Fired when something was learnt of a worker."""
@@ -83,7 +91,8 @@
 
     def _make_void(self, worker: Worker) -> None:
         """Claim a higher token, and tell the worker of it."""
-        self._claim(worker)
+        worker.token = self._next_token(worker.token)
+        worker.exact = False
         self.kernel.spawn(self._tell_token(worker))
 
     def _tell_token(self, worker: Worker) -> Fiber[None]:
@@ -105,22 +114,64 @@
             keys.update(dict.fromkeys(sorted(worker.underway.tasks)))
         return [messages.kill(key, 0) for key in keys if self.base.picture.is_over(key[0])]
 
-    def settle(self, cancelled: Iterable[str]) -> Fiber[None]:
-        """Return once no worker that reports here can start a task of these jobs, or after `SETTLE_US`.
+    def settle(self, cancelled: Iterable[str]) -> Fiber[list[str]]:
+        """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_US` at most.
 
-        Kills are on their way by then.  What has no answer within `GRACE_US` is made void by a higher token.
+        Kills are on their way by then.  What has no answer within `GRACE_US` is made void by a higher token.  Returns
+        the machines with places of these jobs for which that is so.
         """
         job_ids = frozenset(cancelled)
         held = self.base.picture.held
         names = sorted({name for job_id in job_ids for name, _ in held.get(job_id, ())})
-        open_workers = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
+        known = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
         until_us = self.kernel.now_us + SETTLE_US
-        open_workers = yield from self._wait(open_workers, job_ids, self.kernel.now_us + GRACE_US)
+        open_workers = yield from self._wait(known, job_ids, self.kernel.now_us + GRACE_US)
         for worker in open_workers:
             if worker.exact:
                 # Safety point 4: what is underway may still start a task, and must not after the confirmation.
                 self._make_void(worker)
         yield from self._wait(open_workers, job_ids, until_us)
+        return [worker.name for worker in known if worker.exact and not worker.may_start(job_ids)]
+
+    def void_elsewhere(self, job_id: str, settled: set[str]) -> Fiber[None]:
+        """Make void what may be on its way to a cancelled job's machines that no controller answers for.
+
+        Their owner has ended, stands still, or has not heard them yet.  Returns after `ELSEWHERE_US` at most.
+        """
+        names = sorted({name for name, _ in self.base.picture.held.get(job_id, ())} - settled)[:MOST_ELSEWHERE]
+        pending, until_us = set(names), self.kernel.now_us + ELSEWHERE_US
+        for name in names:
+            self.kernel.spawn(self._void_at(name, job_id, pending))
+        while pending and self.kernel.now_us < until_us:
+            yield Wait(self.learnt, until_us - self.kernel.now_us)
+
+    def _void_at(self, name: str, job_id: str, pending: set[str]) -> Fiber[None]:
+        worker, machine = self.workers.get(name), self.base.picture.machines.get(name)
+        if worker is not None and worker.token:
+            yield from self._tell_token(worker)
+        elif machine is not None:
+            yield from self._void_unheard(machine, job_id)
+        pending.discard(name)
+        self.kernel.fire(self.learnt)
+
+    def _void_unheard(self, machine: Machine, job_id: str) -> Fiber[None]:
+        """Give a machine that does not report here a higher token, unless all of a job's tasks have started there.
+
+        Whoever it reports to claims it anew.
+        """
+        address = machine.record.address
+        # A message that is refused for its token tells the session, which the record does not.
+        reply: Reply = yield Call(address, "POST", "/orders", messages.orders_body(0, 0, []), UNHEARD_US)
+        report = messages.parse_report(reply.body) if reply.status in (200, 409) else None
+        if report is None or report.machine != machine.name or all_started(machine, job_id, report):
+            return
+        # Safety point 4: whatever an owner before has sent is void once the machine has seen this token.
+        token = self._next_token(max(report.token, machine.record.token))
+        kills = [messages.kill(key, 0) for key, seen in report.tasks.items() if self._is_to_end(key, seen)]
+        yield Call(address, "POST", "/orders", messages.orders_body(token, report.session, kills), UNHEARD_US)
+
+    def _is_to_end(self, key: TaskKey, seen: TaskState) -> bool:
+        return seen.state != "ended" and self.base.picture.is_over(key[0])
 
     def _wait(self, workers: list[Worker], job_ids: frozenset[str], until_us: int) -> Fiber[list[Worker]]:
         """Wait until none of these workers can start a task of these jobs; returns those that still can."""
@@ -132,6 +183,12 @@
             yield Wait(self.learnt, left_us)
 
 
+def all_started(machine: Machine, job_id: str, report: Report) -> bool:
+    """Whether all of a job's tasks that have a place on a machine have started there, by its report."""
+    keys = [(hold.job, hold.attempt, task) for hold in machine.holds if hold.job == job_id for task in hold.tasks]
+    return all(key in report.tasks and report.tasks[key].state != "fetching" for key in keys)
+
+
 def note_underway(worker: Worker, orders: list[dict[str, Any]]) -> None:
     """Remember which tasks the orders name that go out to a worker now."""
     report = worker.report
