--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -97,6 +97,8 @@
             if not (yield from self.base.follower.barrier()):
                 return
             takeover.ok(Check.READ, self.kernel.now_us)
+            # The other checks may wait for the cloud for long: a silent machine would keep a cancelled job's tasks.
+            self.inventory.know_machines()
         if takeover.missing(Check.INTENTS):
             if not (yield from self._repeat_intents()):
                 return
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -77,6 +77,11 @@
         self.told_heard_us.clear()
         self._term_us = self.kernel.now_us
 
+    def know_machines(self) -> None:
+        """Count the silence of all machines with a record from now on, unless it is counted already."""
+        for name in self.base.picture.machines:
+            self.known_since.setdefault(name, self.kernel.now_us)
+
     def list_lag_us(self) -> int:
         """How far the cloud's list may be behind, with a reserve."""
         return int((2 * self.base.settings.cluster.cloud.list_lag_s + 5) * SECOND_US)
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -1,6 +1,6 @@
-"""Mutants of what makes orders void that are held up on their way."""
+"""Mutants of what makes orders void that are held up on their way, and of how long hung machines are waited for."""
 
-TESTS = ["tests/test_meetings_late_commands.py"]
+TESTS = ["tests/test_meetings_late_commands.py", "tests/test_meetings_hung_machines.py"]
 DELIVERY, WORKER = "ashtray/workers/order_delivery.py", "ashtray/workers/worker.py"
 DESK = "ashtray/workers/desk.py"
 
@@ -50,6 +50,11 @@
         "[worker.name for worker in known if worker.exact and not worker.may_start(job_ids)]",
         "names",
     ),
+    "silence-counted-from-the-end-of-a-takeover": (
+        "ashtray/fleet/handover.py",
+        "            self.inventory.know_machines()\n",
+        "",
+    ),
     "order-answers-clear-what-went-out-to-reports": (
         DESK,
         "if worker.answered is not None and not direct and",
