--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -108,7 +108,11 @@
         "if left[0] <= EPS and left[1] <= EPS:",
     ),
     "stopping-counts-as-used": ("ashtray/teams/guarantees.py", "if hold.record.stop_us >= 0:", "if False:"),
-    "stopped-at-the-limit": (PLACER, "if shared and not self._share_allows(plan, job, need, batch, turn):", "if False:"),
+    "stopped-at-the-limit": (
+        PLACER,
+        "if shared and not self._share_allows(plan, job, need, batch, turn):",
+        "if False:",
+    ),
     "excess-of-the-plan": (
         "ashtray/placement/preemption.py",
         "    if not excess.allows(taken):\n        return None\n",
