--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -439,9 +439,7 @@
     "split-not-marked": [
         "tests/test_limits.py::test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_a_hold"
     ],
-    "record-grows-for-ever": [
-        "tests/test_limits.py::test_a_jobs_record_never_exceeds_its_room_and_forgets_only_what_can_be_done_again"
-    ],
+    "record-grows-for-ever": ["tests/test_limits.py::test_a_record_in_fragments_keeps_the_longest_runs"],
     "own-change-counts-as-read": [
         "tests/test_pipelines.py::test_a_fold_after_a_cancellation_that_was_not_read_yet_makes_nothing_done"
     ],
