--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -454,7 +454,7 @@
     "needed-not-read": ["tests/test_pipelines.py"],
     "answers-without-needs": ["tests/test_pipelines.py"],
     "never-accepted-not-looked-up": [
-        "tests/test_pipelines.py::test_whether_a_needed_job_was_accepted_is_never_guessed"
+        "tests/test_pipelines.py::test_a_job_never_accepted_and_the_job_itself_are_refused_and_the_former_only_until_it_is_accepted"
     ],
     "lean-form-too-early": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
     "older-one-not-asked": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
@@ -463,9 +463,7 @@
     "split-not-marked": [
         "tests/test_limits.py::test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_a_hold"
     ],
-    "record-grows-for-ever": [
-        "tests/test_limits.py::test_a_jobs_record_never_exceeds_its_room_and_forgets_only_what_can_be_done_again"
-    ],
+    "record-grows-for-ever": ["tests/test_limits.py::test_a_record_in_fragments_keeps_the_longest_runs"],
     "own-change-counts-as-read": [
         "tests/test_pipelines.py::test_a_fold_after_a_cancellation_that_was_not_read_yet_makes_nothing_done"
     ],
