--- a/tests/test_meetings_close_looks.py
+++ b/tests/test_meetings_close_looks.py
@@ -52,6 +52,12 @@
 """For so long a controller that has read everything for the first time counts as just started."""
 
 
+FOLLOWED_SHARE = 0.1
+"""After each answer about a job one that waits on it is submitted with this chance, once, for each third job."""
+FOLLOWERS = 1_000
+"""What the number of such a job is larger by."""
+
+
 class Trouble(Enum):
     """What happens to a controller."""
 
@@ -208,6 +214,8 @@
         self.looked_at = model
         self.met: Counter[str] = Counter()
         """The answers that said something of a job, by the state in which the controller was when it was asked."""
+        self.followed_up: set[str] = set()
+        """Jobs on which another one waits."""
         self._asked_in: dict[tuple[str, str, int, int], str] = {}
 
     def request(self, job_id: str, kind: str, node: int) -> None:
@@ -220,6 +228,18 @@
         super()._hear(new)
         if new.told != UNKNOWN:
             self.looked_at.strike(new.node, Moment.TOLD)
+            self._follow_up(new.job_id)
+
+    def _follow_up(self, job_id: str) -> None:
+        """Submit a job that waits on one that was accepted a moment ago: it must not be refused anywhere."""
+        if job_id in self.followed_up or self.rng.random() > FOLLOWED_SHARE:
+            return
+        number = int(job_id.removeprefix("job-"))
+        if number % 3 == 2 and number < FOLLOWERS and self.model.now < self.looked_at.strikes_until_us:
+            self.followed_up.add(job_id)
+            over = {"pieces": 1, "cpus": 1.0, "waits_on": [job_id]}
+            late_us = self.rng.randrange(1, 3_000)
+            self.model.at(late_us, lambda: self.submit(f"job-{number + FOLLOWERS}", **over))
 
 
 def look_in_trouble(seed: int, hosts: int, troubles: list[Trouble], jobs: int = 30) -> TroubledUsers:
@@ -238,6 +258,7 @@
 def assert_all_ended(users: TroubledUsers) -> None:
     """Every job is over, and each controller says so at last."""
     model = users.model
+    assert len(users.followed_up) >= 5
     assert {job.told for job in model.jobs.values()} == set(FINAL)
     for host in model.hosts:
         for job_id in model.jobs:
