--- a/ashtray/inbox.py
+++ b/ashtray/inbox.py
@@ -14,6 +14,7 @@
 from enum import IntEnum
 
 from ashtray.kernel import SECOND_US, Call, Output
+from ashtray.peers import announcements
 
 FOR_EVER_US = 1 << 62
 REPORT_PATIENCE_US = 4 * SECOND_US
@@ -48,7 +49,7 @@
         return Rank.DUTIES, PROBE_PATIENCE_US
     if path.endswith("/abort"):
         return Rank.DUTIES, CHANGE_PATIENCE_US
-    if path in ("/peer/word", "/peer/cancelled"):
+    if path in ("/peer/word", announcements.PATH):
         return Rank.DUTIES, FOR_EVER_US
     return Rank.USERS, CHANGE_PATIENCE_US if path in ("/submissions", "/peer/request") else POLL_PATIENCE_US
 
--- a/ashtray/jobs/messages.py
+++ b/ashtray/jobs/messages.py
@@ -11,6 +11,7 @@
 from ashtray.kernel import SECOND_US
 
 MAX_BODY = 64 * 1024
+"""The largest body of a request, in bytes."""
 _KINDS = {"batch": "array", "gang": "gang", "service": "service"}
 _PRIORITIES = {"prod": "production", "urgent": "high", "standard": "normal", "idle": "low"}
 
@@ -19,6 +20,8 @@
 
 
 class Submission(msgspec.Struct):
+    """The body of `POST /submissions`, with the names and units of the protocol."""
+
     name_id: str
     lane: Name
     crew: Name
@@ -47,11 +50,15 @@
 
 
 def seconds_us(value: float) -> int:
+    """Convert seconds to whole microseconds."""
     return round(value * SECOND_US)
 
 
 def parse_submission(body: Any) -> tuple[str, JobSpec]:
-    """Check a decoded body; raises `Malformed`."""
+    """Check a decoded body and convert it to a job's id and its description.
+
+    Raises `Malformed` if the body is no map, lacks a field, or has one of a wrong type or out of its range.
+    """
     try:
         sub = msgspec.convert(body, Submission)
     except msgspec.ValidationError as error:
@@ -92,6 +99,7 @@
 def state_body(
     job_id: str, status: str, done: int | None = None, running: int | None = None, waits_on: list[str] | None = None
 ) -> dict[str, Any]:
+    """Return the body that tells a job's state; `running` is told only together with `done`."""
     body: dict[str, Any] = {"name_id": job_id, "status": status}
     if done is not None:
         body["done"] = done
