--- a/tests/test_meetings_handovers.py
+++ b/tests/test_meetings_handovers.py
@@ -335,3 +335,47 @@
     tasks = {job_id: sum(job == job_id for job, _ in model.on) for job_id in ("job-11", "job-12")}
     assert tasks == {"job-11": 5, "job-12": 4}
     assert FEW_REPORTS_S < LEASE_S
+
+
+# Row 15: arrays that are spread over zones, or bound to one of them, lose machines as the leader ends
+
+
+@pytest.mark.parametrize("hosts", some([3], [5, 7]))
+@pytest.mark.parametrize("loss", ["taken", "hangs", "cut off"])
+@pytest.mark.parametrize("shape", ["spread", "same_place"])
+def test_arrays_of_one_zone_or_spread_that_lose_machines_as_the_leader_ends(
+    shape: str, loss: str, hosts: int
+) -> None:
+    model = Meeting(108, hosts)
+    model.begin([batch(n, pieces=9, **{shape: True}) for n in range(2)], 40)
+    model.run(2)
+    # All machines of the first array in one of the zones where it is.
+    zone = min(model.workers[name].zone for name in model.machines_of("job-0"))
+    lost = [name for name in sorted(model.machines_of("job-0")) if model.workers[name].zone == zone]
+    starts, linger_s = model.starts, 1.4 * LEASE_S
+    lingering: set[str] = set()
+    for name in lost:
+        if loss == "taken":
+            model.cloud.end(model.now, name, "taken")
+        elif loss == "hangs":
+            model.hang([name], linger_s)
+        else:
+            model.cut_off([name], linger_s)
+    leader = model.runner()
+    assert leader is not None
+    model.change("crash", leader, 5)
+    for _ in range(40):
+        model.run(1)
+        lingering |= model.machines_of("job-0") & set(lost)
+    # The meeting: tasks were started anew under another leader, while those out of reach lingered where they were.
+    assert lost and model.terms[-1][0] != leader
+    assert (loss == "taken") == (not lingering)
+    assert model.starts > starts
+    # `wrong_place` was checked at each of these starts, by what was on machines at that moment.
+    assert {job_id: sum(job == job_id for job, _ in model.on) for job_id in model.jobs} == {"job-0": 9, "job-1": 9}
+    zones = [model.workers[name].zone for machines in model.on.values() for name in machines]
+    assert set(zones) <= {"a", "b"}
+    for job_id in model.jobs:
+        placed = [model.workers[name].zone for (job, _), on in model.on.items() if job == job_id for name in on]
+        most = max(placed.count("a"), placed.count("b"))
+        assert most <= 5 if shape == "spread" else most == 9
