--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -49,6 +49,8 @@
 
 
 class Grants:
+    """What this controller may use of the limits of teams, and the changes of the records that say so."""
+
     def __init__(self, host: str, hosts: Iterable[str], teams: Iterable[Team], picture: Picture) -> None:
         self.host = host
         self.hosts = sorted({host, *hosts})
@@ -63,6 +65,7 @@
         """Up to which revision the picture was read: own commits show in it at once, those before them need not."""
 
     def limited(self, name: str) -> bool:
+        """Whether a team has a limit."""
         return name in self.teams
 
     def begin(self, revision: int) -> None:
@@ -95,6 +98,7 @@
                 self._fenced.add(name)
 
     def ready(self, name: str) -> bool:
+        """Whether all placements of this controller for a team are known, so that it may place more."""
         return name in self._fenced
 
     def _shares(self, name: str) -> dict[str, Share]:
--- a/ashtray/teams/guarantees.py
+++ b/ashtray/teams/guarantees.py
@@ -36,10 +36,12 @@
 
 
 def amounts(hold: Hold, tasks: int) -> Amounts:
+    """What so many tasks of an allocation use."""
     return tasks * hold.record.cpus, tasks * hold.record.gpus
 
 
 def plus(a: Amounts, b: Amounts) -> Amounts:
+    """The sum of two amounts."""
     return a[0] + b[0], a[1] + b[1]
 
 
--- a/ashtray/teams/limits.py
+++ b/ashtray/teams/limits.py
@@ -10,6 +10,7 @@
 
 
 def has_limit(team: Team) -> bool:
+    """Whether a team has a limit of CPUs or of GPUs."""
     return team.cpus_max > 0 or team.gpus_max > 0
 
 
