--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -185,6 +185,10 @@
     assert (found["largest panel"].jobs, found["largest panel"].share()) == (3, pytest.approx(1 / 3))
     assert found["largest panel, begun"].share() == 0.0
     assert "panel 1 of 4 (1 called off): 0.33" in accept.table([day], 0.5, 0.6)
+    # The report counts the first job as done when it was cancelled as its last task ended: it is not counted twice.
+    report.write_text(json.dumps({**REPORT, "classes": {"panel": {**panel, "done": 2}}}))
+    assert accept.read("a day", report, log, None).parts[0].share() == pytest.approx(1 / 3)
+    report.write_text(json.dumps({**REPORT, "classes": {"panel": panel}}))
     # Without the log nobody knows which jobs were cancelled: all are owed.
     assert accept.read("a day", report, None, None).parts[0].share() == 0.25
 
--- a/tools/accept.py
+++ b/tools/accept.py
@@ -95,12 +95,15 @@
     tasks_done: int | None = None
     called_off: int = 0
     """Of the jobs: those that their users cancelled, that were not done, and that had not waited too long before."""
+    done_by_log: int = 0
+    """By the log's lines alone.  A report counts a job as done that was cancelled as its last task ended."""
 
     def share(self) -> float:
         """The share, of the jobs that were not called off, that was done or, where ends are not counted, started."""
-        owed = self.jobs - self.called_off
-        served = self.started if self.done is None else self.done
-        return served / owed if owed else 1.0
+        if self.called_off:
+            owed = self.jobs - self.called_off
+            return self.done_by_log / owed if owed else 1.0
+        return (self.started if self.done is None else self.done) / self.jobs
 
 
 @dataclass
@@ -247,7 +250,9 @@
             # Of a version that does not say of small jobs that they are done nothing is known by tasks.
             by_tasks = sum(known) if tasks and len(known) >= 0.8 * row["done"] else None
             of_class = sum(tasks[job][1] == name for job in off)
-            parts.append(Part(name, row["jobs"], row["started"], row["done"], row["tasks"], by_tasks, of_class))
+            parts.append(
+                Part(name, row["jobs"], row["started"], row["done"], row["tasks"], by_tasks, of_class, len(known))
+            )
             sizes = {job: n for job, (n, of) in tasks.items() if of == name and job not in off}
             parts += largest(name, sizes, came_s, begun_s, done, last_s)
     for name, row in data["teams"].items():
