--- a/tests/test_meeting_days.py
+++ b/tests/test_meeting_days.py
@@ -55,12 +55,14 @@
 [[jobs]]
 priority = "high"
 name = "render"
+tasks = { sizes = [3, 6], weights = [2.0, 1.0] }
 arrivals = { rate = 1.1, swing = 0.5 }
 initial = 108
 [[jobs]]
 priority = "low"
 gpus = 1.0
 name = "panel"
+tasks = { median = 30.0, p95 = 90.0, max = 150.0 }
 arrivals = { rate = 0.8 }
 initial = 27
 teams = ["reader-app"]
@@ -267,7 +269,16 @@
     assert chosen
     for day in chosen:
         (change,) = tomllib.loads(day.text())["jobs"]
-        assert change["name"] == "panel" and change["tasks"]["sizes"] in ([1], [2, 3])
+        assert change["name"] == "panel" and change["tasks"]["median"] in (1.0, 2.0)
+
+
+@pytest.mark.parametrize("name", ["ends_far_apart", "one_task_jobs"])
+@pytest.mark.parametrize("tasks", ["{ median = 30.0, p95 = 90.0, max = 150.0 }", "{ sizes = [8], weights = [1.0] }"])
+def test_a_class_is_changed_in_the_words_of_its_site(name: str, tasks: str) -> None:
+    data = tomllib.loads(SITE.replace("{ median = 30.0, p95 = 90.0, max = 150.0 }", tasks))
+    (change,) = [step for step in steps_of(named(name), 1, site_of(data, 1.0)) if isinstance(step, JobsChange)]
+    # The bench lays the day's table over the site's, and refuses a mixture of both forms.
+    assert dict(change.options)["tasks"].keys() == data["jobs"][1]["tasks"].keys()
 
 
 def test_half_as_many_machines_again_are_hit_by_the_same_meetings() -> None:
--- a/tools/meetings/catalogue.py
+++ b/tools/meetings/catalogue.py
@@ -69,6 +69,17 @@
     return CancelNow(at_s=at_s, count=draw.count(20, 40), hang_s=hang_s)
 
 
+def tasks_of(site: Site, sizes: tuple[int, int]) -> dict[str, float | list[float]]:
+    """Two sizes of jobs, in the words in which the site file writes those of its least urgent class.
+
+    The bench lays a day's table over the site's, and takes no mixture of a list of sizes and a distribution.
+    """
+    least, most = sizes
+    if site.idle_in_sizes:
+        return {"sizes": [least, most], "weights": [1.0, 1.0]}
+    return {"median": float(least), "p95": float(most), "max": float(most)}
+
+
 def some_machines(draw: Draw, site: Site, kind: type[MachineGroup], at_s: float, for_s: float) -> MachineGroup:
     """Machines by count, by share or by zone; a whole zone for less than half of a lease."""
     by = draw.pick(["count", "share", "zone"] if site.zones else ["count", "share"])
@@ -143,8 +154,7 @@
     """Jobs of two or three tasks end far apart across a change of leader."""
     if site.idle_class is not None:
         run_s: dict[str, float | list[float]] = {"median": 40.0, "p95": 140.0, "max": 180.0}
-        tasks: dict[str, float | list[float]] = {"sizes": [2, 3], "weights": [1.0, 1.0]}
-        yield JobsChange(site.idle_class, (("tasks", tasks), ("run_s", run_s)))
+        yield JobsChange(site.idle_class, (("tasks", tasks_of(site, (2, 3))), ("run_s", run_s)))
     for _ in range(3):
         yield NodeCrash(at_s=at_s)
         at_s = moment(at_s, draw.between(10.0, 25.0))
@@ -266,9 +276,9 @@
 def one_task_jobs(draw: Draw, site: Site, at_s: float) -> Iterator[Step]:
     """One-task jobs come four a second for minutes, a quarter of them cancelled."""
     if site.idle_class is not None:
-        tasks: dict[str, float | list[float]] = {"sizes": [1], "weights": [1.0]}
         arrivals: dict[str, float | list[float]] = {"rate": 4.0}
-        yield JobsChange(site.idle_class, (("tasks", tasks), ("arrivals", arrivals), ("cancelled", 0.25)))
+        changes = (("tasks", tasks_of(site, (1, 1))), ("arrivals", arrivals), ("cancelled", 0.25))
+        yield JobsChange(site.idle_class, changes)
     yield CancelAtEnd(at_s=at_s, share=draw.share(0.1, 0.3), for_s=draw.between(40.0, 80.0))
     yield NodeCrash(at_s=moment(at_s, draw.between(5.0, 30.0)))
 
--- a/tools/meetings/site.py
+++ b/tools/meetings/site.py
@@ -34,6 +34,8 @@
     urgent_class: str | None = None
     idle_class: str | None = None
     """The most and the least urgent class of jobs."""
+    idle_in_sizes: bool = False
+    """Whether the site file lists the sizes of the least urgent class, and gives no distribution of its tasks."""
 
     def part(self, share: float) -> int:
         """A share of the machines; one at least."""
@@ -81,6 +83,7 @@
         zones=tuple(sorted(zones)),
         urgent_class=str(jobs[0]["name"]),
         idle_class=str(jobs[-1]["name"]),
+        idle_in_sizes="sizes" in jobs[-1]["tasks"],
     )
     times_s = (site.duration_s, site.warmup_s, site.lease_s, site.cancel_s, site.boot_s)
     if site.nodes < 1 or not all(math.isfinite(each) and each > 0.0 for each in times_s):
