--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -24,7 +24,7 @@
         "returns",
         "model",
         "record_tables",
-        "needs",
+        "dependencies",
     )
 ]
 FOLDING, DESK = "ashtray/workers/folding.py", "ashtray/workers/desk.py"
