--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -108,8 +108,16 @@
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_a_machine_that_hears_again_within_its_lease_is_kept(seed):
-    model, name = at_work(seed)
-    model.deaf[name] = (model.now + int(0.6 * LEASE_S * SECOND), False)
+    model, _ = at_work(seed)
+    deaf_until_us = model.now + int(0.6 * LEASE_S * SECOND)
+    # One that has work for longer than it is deaf: it would be returned otherwise, as an idle one.
+    busy = [
+        name
+        for name, worker in sorted(model.workers.items())
+        if any(task.state == "running" and task.end_us > deaf_until_us + SECOND for task in worker.tasks.values())
+    ]
+    name = busy[0]
+    model.deaf[name] = (deaf_until_us, False)
     model.run(0.6 * LEASE_S)
     session = model.workers[name].session
     model.submit(submission("job-90", pieces=12, crew="free", hulls=["small"]))
