--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -25,6 +25,8 @@
         "model",
         "record_tables",
         "needs",
+        "guards",
+        "meetings_answers",
     )
 ]
 FOLDING, DESK = "ashtray/workers/folding.py", "ashtray/workers/desk.py"
@@ -318,7 +320,9 @@
     ],
     "free-before-deletion": ["tests/test_decommissioning.py"],
     "place-while-deleting": ["tests/test_decommissioning.py"],
-    "clear-before-commit": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
+    "clear-before-commit": [
+        "tests/test_guards.py::test_an_ended_task_is_not_cleared_while_its_hold_is_in_the_record"
+    ],
     "one-token-for-all": ["tests/test_safety.py::test_no_two_processes_give_out_the_same_token"],
     "orders-without-record": ["tests/test_safety.py::test_orders_are_given_only_once_the_record_carries_the_token"],
     "no-doubt": ["tests/test_safety.py::test_an_order_without_an_answer_voids_the_token"],
@@ -401,8 +405,12 @@
     "gang-portions-of-two-attempts": [
         "tests/test_placement.py::test_a_gang_that_needs_more_groups_than_a_transaction_may_change_runs"
     ],
-    "answers-without-barrier": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
-    "accept-without-look": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
+    "answers-without-barrier": [
+        "tests/test_meetings_answers.py::test_a_question_does_not_share_the_read_of_one_that_was_asked_before_the_cancellation"
+    ],
+    "accept-without-look": [
+        "tests/test_meetings_answers.py::test_a_submission_repeated_once_the_job_is_over_is_told_its_final_state"
+    ],
     "stopped-holds-hide": ["tests/test_placement.py::test_tasks_stopped_one_after_the_other_all_count_as_placed"],
     "silence-while-halted": [
         "tests/test_bad_nights.py::test_what_was_not_heard_while_this_process_stood_still_is_no_silence"
@@ -427,14 +435,14 @@
     "cancellation-stays": [
         "tests/test_pipelines.py::test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved"
     ],
-    "needed-not-read": ["tests/test_pipelines.py"],
-    "answers-without-needs": ["tests/test_pipelines.py"],
+    "needed-not-read": ["tests/test_guards.py::test_final_states_of_needed_jobs_are_read_though_no_user_asks"],
+    "answers-without-needs": ["tests/test_guards.py::test_an_answer_reads_what_it_does_not_know_of_the_jobs_before"],
     "never-accepted-not-looked-up": [
         "tests/test_pipelines.py::test_a_job_never_accepted_and_the_job_itself_are_refused_and_the_former_only_until_it_is_accepted"
     ],
     "lean-form-too-early": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
     "older-one-not-asked": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
-    "size-not-checked": ["tests/test_limits.py"],
+    "size-not-checked": ["tests/test_guards.py::test_a_record_over_its_share_of_the_limit_is_not_written"],
     "moved-machines-count": ["tests/test_limits.py::test_while_a_group_is_being_split_its_moved_machines_count_once"],
     "split-not-marked": [
         "tests/test_limits.py::test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_a_hold"
@@ -465,6 +473,8 @@
     "deaf-is-heard": [
         "tests/test_addition.py::test_a_controller_does_not_count_a_machine_as_heard_that_goes_on_without_the_token_it_was_given"
     ],
-    "zone-not-checked": ["tests/test_model.py::test_no_rule_breaks_and_all_jobs_end_when_the_faults_do"],
+    "zone-not-checked": [
+        "tests/test_guards.py::test_a_job_of_one_zone_is_not_placed_in_another_by_a_picture_that_has_changed"
+    ],
 }
 """What states most directly what a mutant breaks."""
--- /dev/null
+++ b/tests/test_guards.py
@@ -0,0 +1,111 @@
+"""Guards of safety points that another guard mostly hides, each shown without the other."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+import pytest
+
+from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
+from ashtray.jobs.states import JobStates
+from ashtray.kernel import SECOND_US, Sleep
+from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, MachineRecord, Picture
+from ashtray.placement.placer import Draft, Item
+from ashtray.store.client import VALUE_SHARE, Limits
+from ashtray.workers.messages import TaskState
+from tests.model import Model, submission
+from tests.test_pipelines import ask
+from tests.test_safety import settled
+
+
+@pytest.mark.parametrize(("zone", "allowed"), [("a", True), ("b", False)])
+def test_a_job_of_one_zone_is_not_placed_in_another_by_a_picture_that_has_changed(zone: str, allowed: bool) -> None:
+    """Safety point 9: the plan saw no task of the job, and the picture shows one in zone a now."""
+    picture = Picture()
+    spec = JobSpec("any", "free", "array", 2, 2, 1.0, 0.0, 1.0, "img", 1.0, same_zone=True)
+    picture.put(LIVE + "job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, attempt=1)), 3)
+    hold = HoldRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
+    for where in ("a", "b"):
+        holds = [hold] if where == "a" else []
+        machine = MachineRecord("vm:1", token=1, holds=holds)
+        record = GroupRecord("small", where, {f"vm-{where}": machine})
+        picture.put(GROUP + where, msgspec.to_builtins(record), 4)
+    kind = SimpleNamespace(cpus=4.0, gpus=0.0, memory_gb=16.0)
+    room: Any = SimpleNamespace(machine=picture.machines[f"vm-{zone}"], type=kind)
+    grants: Any = SimpleNamespace(limited=lambda team: False)
+    draft = Draft(picture, grants, SimpleNamespace(freed={}), Limits(16, 60_000, 32_768))  # type: ignore[arg-type]
+    assert draft.allows(picture.jobs["job-1"], Item("job-1", [1], [(room, 1)], 0)) == allowed
+
+
+def test_a_record_over_its_share_of_the_limit_is_not_written() -> None:
+    """Safety point 21."""
+    limits = Limits(16, 60_000, 1000)
+    assert limits.takes(int(1000 * VALUE_SHARE))
+    assert not limits.takes(int(1000 * VALUE_SHARE) + 1)
+
+
+def test_an_ended_task_is_not_cleared_while_its_hold_is_in_the_record() -> None:
+    """Safety point 2."""
+    model = settled()
+    name = next(n for machines in model.on.values() for n in machines)
+    desk = next(h.core.desk for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
+    worker, machine = desk.workers[name], desk.base.picture.machines[name]
+    assert machine.holds and worker.report.tasks
+    ended = {key: TaskState("ended", "done") for key in worker.report.tasks}
+    worker.report, worker.settled = msgspec.structs.replace(worker.report, tasks=ended), None
+    assert desk._review(worker, machine) == [] and worker.clears == []
+
+
+def never(states: JobStates) -> Any:
+    """A loop that reads nothing."""
+    yield Sleep(SECOND_US)
+
+
+def restart_all(model: Model) -> None:
+    for host in model.hosts:
+        model.crash(host.number, 1)
+    model.run(6)
+
+
+def test_final_states_of_needed_jobs_are_read_though_no_user_asks(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Safety point 17: after a start, what a live job needs may be over already."""
+    model = Model(7)
+    model.run(3)
+    monkeypatch.setattr(model, "_poll", lambda job_id: None)
+    model.submit(submission("job-0", pieces=1))
+    while OVER + "job-0" not in model.state.keys:
+        model.run(1)
+        assert model.now < 120 * SECOND_US
+    # No machine of its type can be rented, so it is accepted, told so and not placed.
+    model.cloud.capacity = 0
+    model.submit(submission("job-1", pieces=1, waits_on=["job-0"], hulls=["big"]))
+    model.run(3)
+    # The meeting: nobody repeats the submission, and everybody forgets what the job needs.
+    assert model.jobs["job-1"].accepted_us is not None and LIVE + "job-1" in model.state.keys
+    model.cloud.capacity = 40
+    restart_all(model)
+    model.run(30)
+    assert model.jobs["job-1"].finished == {0}
+
+
+def test_an_answer_reads_what_it_does_not_know_of_the_jobs_before(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Safety point 18: a question comes before the loop has read the final states of what is needed."""
+    model = Model(7)
+    model.run(3)
+    model.submit(submission("job-0", shape="service", pieces=1))
+    model.run(1)
+    model.submit(submission("job-1", pieces=1, waits_on=["job-0"]))
+    model.run(1)
+    monkeypatch.setattr(JobStates, "resolve", never)
+    # A user's question about the cancelled job would read its state.
+    monkeypatch.setattr(model, "_poll", lambda job_id: None)
+    model.cancel("job-0")
+    while model.jobs["job-0"].cancelled_us is None:
+        model.run(0.01)
+    restart_all(model)
+    # The meeting: the record of what needs the cancelled job was not moved, and nobody has read why it is over.
+    assert LIVE + "job-1" in model.state.keys
+    status, body = ask(model, submission("job-1"), 1)
+    assert (status, body["status"]) == (200, "cancelled")
