--- a/tests/mutants/cached.py
+++ b/tests/mutants/cached.py
@@ -1,6 +1,6 @@
 """Mutants of what tells that a value which was kept is of use no longer."""
 
-TESTS = ["tests/test_growth.py"]
+TESTS = ["tests/test_growth.py", "tests/test_guards.py"]
 PICTURE, RULES = "ashtray/placement/picture.py", "ashtray/placement/rules.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -51,9 +51,7 @@
     "small-jobs-done-only-once-moved": [
         "tests/test_meetings_load.py::test_small_jobs_for_minutes_stay_within_the_budget_and_leave_nothing_behind"
     ],
-    "versions-of-what-is-over-kept": [
-        "tests/test_meetings_load.py::test_small_jobs_for_minutes_stay_within_the_budget_and_leave_nothing_behind"
-    ],
+    "versions-of-what-is-over-kept": ["tests/test_guards.py::test_a_version_is_not_kept_of_a_record_that_is_gone"],
     "first-ends-forgotten": [
         "tests/test_meetings_machines.py::test_a_task_that_ended_long_before_the_others_is_not_begun_anew_by_a_new_leader"
     ],
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,7 +11,7 @@
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import SECOND_US, Sleep
-from ashtray.placement.picture import GROUP, GroupRecord, HoldRecord, MachineRecord, Picture
+from ashtray.placement.picture import GROUP, GroupRecord, Hold, HoldRecord, MachineRecord, Picture, _holds
 from ashtray.placement.placer import Draft, Item
 from ashtray.store.client import VALUE_SHARE, Limits
 from ashtray.workers.messages import TaskState
@@ -109,3 +109,21 @@
     assert LIVE + "job-1" in model.state.keys
     status, body = ask(model, submission("job-1"), 1)
     assert (status, body["status"]) == (200, "cancelled")
+
+
+def test_two_equal_holds_of_a_machine_are_two_in_the_picture() -> None:
+    """A hold that was there before stands for one record, not for each that is equal to it."""
+    record = HoldRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
+    before = [Hold(record)]
+    holds = _holds([record, record], before)
+    assert holds[0] is before[0]
+    assert holds[1] is not before[0] and holds[1].record == record
+
+
+def test_a_version_is_not_kept_of_a_record_that_is_gone() -> None:
+    picture, key = Picture(), LIVE + "job-1"
+    spec = JobSpec("any", "free", "array", 2, 2, 1.0, 0.0, 1.0, "img", 1.0)
+    picture.put(key, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3)
+    assert picture.version(key) == 3
+    picture.remove(key, 4)
+    assert picture.version(key) == 0
