--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -570,8 +570,16 @@
         late = now - self._done_us[jobs[0].id] > (SCARCE_TIDY_US if scarce else TIDY_US)
         if scarce and not late and len(jobs) < MAX_UNTIDY:
             return
-        # No debt: the ends of tasks that are to show within 3 s would wait until it is paid.
-        jobs = jobs[: max(changes.spare(Urgency.BOOKKEEPING) // 2, 1)]
+        # Never before a fold, which shows the ends of many jobs with one change.
+        urgency = Urgency.PLACE if late else Urgency.BOOKKEEPING
+        jobs = jobs[: self.base.limits.ops // 2]
+        # No more at once than a full bucket: ends that are to show within 3 s would wait until a debt is paid.
+        most = max(int(changes.bucket.rate * changes.bucket.burst_s) // 2, 1)
+        for first in range(0, len(jobs), most):
+            yield from self._move(jobs[first : first + most], urgency)
+
+    def _move(self, jobs: list[Job], urgency: Urgency) -> Fiber[None]:
+        """Move the records of jobs that count as done, two changes each."""
 
         def build() -> Txn | None:
             fold = Fold(self.kernel, self.base.picture, self.base.limits)
@@ -580,10 +588,7 @@
                     fold.end(self.base.picture.jobs[job.id])
             return fold.transaction()
 
-        number = min(2 * len(jobs), self.base.limits.ops)
-        # Never before a fold, which shows the ends of many jobs with one change.
-        urgency = Urgency.PLACE if late else Urgency.BOOKKEEPING
-        yield from self.base.follower.commit(build, number, urgency, "tidy")
+        yield from self.base.follower.commit(build, min(2 * len(jobs), self.base.limits.ops), urgency, "tidy")
 
     def heard_us(self) -> dict[str, int]:
         """When each worker that reports here was last heard."""
