--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -1,9 +1,9 @@
 """Sends orders straight to workers, and makes those void that get no answer.
 
 An order without an answer may be executed at any later time, as long as the worker knows no higher token (safety
-point 4 in `docs/design.md`).  So a higher token is claimed at once, and sent to the worker at once as well, with a
-message that launches nothing: a worker that has taken it executes nothing older.  Until a report shows that it has,
-nothing of the worker is freed.
+point 4 in `docs/design.md`).  So a higher token is claimed at once.  The worker learns of it with the answer to its
+next report, and before a cancellation is confirmed by a message that launches nothing: a worker that has taken it
+executes nothing older.  Until a report shows that it has, nothing of the worker is freed.
 """
 
 from __future__ import annotations
@@ -22,8 +22,6 @@
 """How long an order waits for its answer."""
 BAD_US = 10 * SECOND_US
 """For so long after an order without an answer the next ones go out in answers to reports."""
-VOID_ANSWERS_US = tuple(100_000 << n for n in range(6))
-"""How long each of the messages waits for its answer that tell a worker of a higher token."""
 GRACE_US = 50_000
 """For so long a cancellation waits for answers to what is underway, before that is made void."""
 SETTLE_US = 250_000
@@ -75,7 +73,7 @@
             return
         if not reply.refused and worker.token == token:
             # Safety point 4: a new token makes them void before anything that they name is freed or placed anew.
-            self._make_void(worker)
+            self._claim_anew(worker)
         worker.direct_bad_until_us = self.kernel.now_us + BAD_US
 
     def _answered(self, worker: Worker, reply: Reply) -> bool:
@@ -89,23 +87,20 @@
             self._heard(worker, report)
         return True
 
-    def _make_void(self, worker: Worker) -> None:
-        """Claim a higher token, and tell the worker of it."""
+    def _claim_anew(self, worker: Worker) -> None:
         worker.token = self._next_token(worker.token)
         worker.exact = False
-        self.kernel.spawn(self._tell_token(worker))
 
     def _tell_token(self, worker: Worker) -> Fiber[None]:
-        """Send the token that a worker is claimed with until a report carries it, or another one is claimed."""
-        token = worker.token
-        for patience_us in VOID_ANSWERS_US:
-            report = worker.report
-            if worker.token != token or worker.exact or report is None:
-                return
-            body = messages.orders_body(token, report.session, self._kills(worker, report))
-            reply: Reply = yield Call(report.address, "POST", "/orders", body, patience_us)
-            if reply.refused or (worker.token == token and self._answered(worker, reply)):
-                return
+        """Tell a worker the token that it is claimed with, once: one that hears nothing must not cost a stream."""
+        report, token = worker.report, worker.token
+        if worker.exact or report is None or worker.told_token == token:
+            return
+        worker.told_token = token
+        body = messages.orders_body(token, report.session, self._kills(worker, report))
+        reply: Reply = yield Call(report.address, "POST", "/orders", body, SETTLE_US)
+        if worker.token == token:
+            self._answered(worker, reply)
 
     def _kills(self, worker: Worker, report: Report) -> list[dict[str, Any]]:
         """Orders that end what is over: whoever knows that may give them, also without the token in the record."""
@@ -118,20 +113,21 @@
         """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_US` at most.
 
         Kills are on their way by then.  What has no answer within `GRACE_US` is made void by a higher token.  Returns
-        the machines with places of these jobs for which that is so.
+        the machines with places of these jobs that report here.
         """
         job_ids = frozenset(cancelled)
         held = self.base.picture.held
         names = sorted({name for job_id in job_ids for name, _ in held.get(job_id, ())})
         known = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
         until_us = self.kernel.now_us + SETTLE_US
-        open_workers = yield from self._wait(known, job_ids, self.kernel.now_us + GRACE_US)
-        for worker in open_workers:
-            if worker.exact:
+        yield from self._wait(known, job_ids, self.kernel.now_us + GRACE_US)
+        for worker in known:
+            if worker.exact and worker.may_start(job_ids):
                 # Safety point 4: what is underway may still start a task, and must not after the confirmation.
-                self._make_void(worker)
-        yield from self._wait(open_workers, job_ids, until_us)
-        return [worker.name for worker in known if worker.exact and not worker.may_start(job_ids)]
+                self._claim_anew(worker)
+            self.kernel.spawn(self._tell_token(worker))
+        yield from self._wait(known, job_ids, until_us)
+        return [worker.name for worker in known]
 
     def void_elsewhere(self, job_id: str, settled: set[str]) -> Fiber[None]:
         """Make void what may be on its way to a cancelled job's machines that no controller answers for.
@@ -147,9 +143,7 @@
 
     def _void_at(self, name: str, job_id: str, pending: set[str]) -> Fiber[None]:
         worker, machine = self.workers.get(name), self.base.picture.machines.get(name)
-        if worker is not None and worker.token:
-            yield from self._tell_token(worker)
-        elif machine is not None:
+        if machine is not None and (worker is None or not worker.token):
             yield from self._void_unheard(machine, job_id)
         pending.discard(name)
         self.kernel.fire(self.learnt)
@@ -173,13 +167,13 @@
     def _is_to_end(self, key: TaskKey, seen: TaskState) -> bool:
         return seen.state != "ended" and self.base.picture.is_over(key[0])
 
-    def _wait(self, workers: list[Worker], job_ids: frozenset[str], until_us: int) -> Fiber[list[Worker]]:
-        """Wait until none of these workers can start a task of these jobs; returns those that still can."""
+    def _wait(self, workers: list[Worker], job_ids: frozenset[str], until_us: int) -> Fiber[None]:
+        """Wait until none of these workers can start a task of these jobs."""
         while True:
-            workers = [worker for worker in workers if worker.may_start(job_ids)]
+            workers = [worker for worker in workers if not worker.exact or worker.may_start(job_ids)]
             left_us = until_us - self.kernel.now_us
             if not workers or left_us <= 0:
-                return workers
+                return
             yield Wait(self.learnt, left_us)
 
 
--- a/ashtray/workers/worker.py
+++ b/ashtray/workers/worker.py
@@ -43,6 +43,8 @@
     in_flight: bool = False
     """Orders sent directly have no answer yet."""
     underway: OrdersUnderway | None = None
+    told_token: int = 0
+    """The last token that it was told of directly."""
     direct_bad_until_us: int = 0
     answered: tuple[int, int] | None = None
     """Orders went out in the answer to this report: nothing is told directly until a later report."""
