--- a/tests/test_meetings_odd_requests.py
+++ b/tests/test_meetings_odd_requests.py
@@ -189,13 +189,16 @@
     model.cloud.types = offered
     model.run(4)
     users = TroubledUsers(model, seed)
-    users.cancelled_share = 0.5
+    users.at_end_share = 0.0
     for n in range(8):
-        model.at(n * SECOND // 8, lambda n=n: users.submit(f"job-{n}", pieces=1, cpus=1.0))
-    model.run(15)
+        # Half of them are cancelled at once, the others are left to end.
+        users.cancelled_share = float(n % 2)
+        users.submit(f"job-{n}", pieces=1, cpus=1.0)
+        model.run(0.5)
+    users.cancelled_share = 0.0
+    model.run(20)
     over = {job_id: job.told for job_id, job in model.jobs.items() if job.told}
     assert set(over.values()) == set(FINAL)
-    users.cancelled_share = 0.0
     users.submit("job-8", pieces=2, expect_s=600.0, shape="service")
     model.run(2)
     return OddUsers(model, seed, sorted(model.jobs), over)
