--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,8 +11,11 @@
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import SECOND_US, Sleep
-from ashtray.placement.picture import GROUP, GroupRecord, Hold, HoldRecord, MachineRecord, Picture, _holds
+from ashtray.placement.cluster_state import Picture
+from ashtray.placement.machine_groups import Hold, reuse_holds
 from ashtray.placement.placer import Draft, Item
+from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import VALUE_SHARE, Limits
 from ashtray.workers.messages import TaskState
 from tests.model import Model, submission
@@ -115,7 +118,7 @@
     """A hold that was there before stands for one record, not for each that is equal to it."""
     record = HoldRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
     before = [Hold(record)]
-    holds = _holds([record, record], before)
+    holds = reuse_holds([record, record], before)
     assert holds[0] is before[0]
     assert holds[1] is not before[0] and holds[1].record == record
 
