--- a/tests/test_meetings_close_looks.py
+++ b/tests/test_meetings_close_looks.py
@@ -52,7 +52,7 @@
 """For so long a controller that has read everything for the first time counts as just started."""
 
 
-FOLLOWED_SHARE = 0.1
+FOLLOWED_SHARE = 0.8
 """After each answer about a job one that waits on it is submitted with this chance, once, for each third job."""
 FOLLOWERS = 1_000
 """What the number of such a job is larger by."""
