--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -29,5 +29,25 @@
         "if picture.finished(job) & tasks or picture.placed(job.id) & tasks:",
         "if picture.finished(job) & tasks:",
     ),
+    "accepted-after-its-end": (
+        "ashtray/jobs/accepting.py",
+        "txn.guard(LIVE + job.job_id, 0).guard(OVER + job.job_id, 0).put(",
+        "txn.guard(LIVE + job.job_id, 0).put(",
+    ),
+    "late-adoption-into-a-new-group": (
+        "ashtray/workers/folding.py",
+        "txn = Txn().guard(lock, picture.version(lock)).put(lock, picture.version(lock))",
+        "txn = Txn().put(lock, picture.version(lock))",
+    ),
+    "late-taking-of-the-fleet": (
+        "ashtray/fleet/fleet_lease.py",
+        "txn = Txn().guard(FLEET, self.base.picture.version(FLEET))",
+        "txn = Txn()",
+    ),
+    "late-share": (
+        "ashtray/teams/grants.py",
+        "txn.guard(key, self.picture.version(key)).put(key, self._shares(name))",
+        "txn.put(key, self._shares(name))",
+    ),
     "given-up-for-ever": (DECOMMISSIONING, "        self._keep_adopted()\n", ""),
 }
--- a/tests/test_meetings_late_writes.py
+++ b/tests/test_meetings_late_writes.py
@@ -6,20 +6,48 @@
 
 from __future__ import annotations
 
+import ast
+from dataclasses import dataclass
 from enum import Enum
+from pathlib import Path
 from typing import Any
 
 import msgspec
 import pytest
 
 from ashtray.config.operators import OperatorSettings
+from ashtray.jobs.model import LIVE, OVER
+from ashtray.kernel import Reply
 from ashtray.placement import compact_record
-from ashtray.placement.picture import GROUP, MachineRecord
+from ashtray.placement.picture import ADOPTED, CONTROLLER, FLEET, GROUP, SPLIT, MachineRecord
 from ashtray.runs import decode_runs
+from ashtray.store.client import Txn
+from ashtray.workers.folding import end_job
 from tests.fakes.worker import Key
+from tests.interleavings import (
+    ELSEWHERE,
+    Action,
+    Chooser,
+    Message,
+    Play,
+    explore,
+    submit_at,
+    world,
+)
+from tests.interleavings import JOB as SEARCHED_JOB
 from tests.meeting_model import some
 from tests.model import LEASE_S, SECOND, Model, RuleBroken, UserJob, submission
-from tests.test_meetings_transactions import Fate, Kind, Transaction, Troubles
+from tests.test_meetings_transactions import (
+    KINDS,
+    NEVER_S,
+    Fate,
+    Kind,
+    Transaction,
+    Troubles,
+    check_nothing_is_left,
+    settle,
+    work,
+)
 
 JOB = "job-0"
 SOON_S = 0.01
@@ -149,3 +177,294 @@
     assert len(model.on[(JOB, 0)]) == 1
     if fate is Fate.AT_ONCE:
         assert meeting.troubles.meetings[0].status == 200
+
+
+# What guards each kind of transaction when it is carried out late
+
+
+class Guard(Enum):
+    """Why a transaction that is carried out late, or twice, changes nothing that it must not."""
+
+    VERSION = "it guards a version that it raises, or a record that it removes and that never comes back"
+    FINAL_STATE = "the final state that it guards as absent is kept for ever"
+    TERM = "it guards the version of the fleet's key, which each term raises"
+    LEASE = "it attaches its key to a lease that is gone, or that is its sender's"
+    TYPE_KEY = "it guards and raises the version of the type's key, which is never removed"
+
+
+LATE_TESTS = {"test_no_transaction_could_be_carried_out_a_second_time", "test_each_record_that_is_written_is_guarded"}
+GUARDS: dict[str, tuple[set[Guard], str]] = {
+    "sign in": ({Guard.LEASE}, "test_a_late_sign_in_takes_nobodys_presence_for_long"),
+    "accept": ({Guard.FINAL_STATE}, "test_no_order_of_a_late_acceptance_and_the_job_s_end_revives_it"),
+    "cancel": ({Guard.VERSION}, ""),
+    "bury": ({Guard.VERSION}, ""),
+    "place": ({Guard.VERSION}, "test_each_job_of_a_shared_placement_is_placed_once"),
+    "preempt": ({Guard.VERSION}, "test_a_preemption_without_an_answer_stops_no_more_than_the_job_needs"),
+    "share": ({Guard.VERSION}, ""),
+    "adopt": ({Guard.TYPE_KEY}, "test_a_machine_that_reports_is_not_given_up_while_its_adoption_is_late"),
+    "fold": ({Guard.VERSION}, "test_a_fold_without_an_answer_frees_no_task_that_its_sender_has_started_again"),
+    "tidy": ({Guard.VERSION}, "test_each_job_that_ends_in_a_shared_transaction_is_done_everywhere_at_once"),
+    "split": ({Guard.VERSION}, "test_a_split_without_an_answer_neither_loses_a_hold_nor_counts_one_twice"),
+    "fleet": ({Guard.VERSION, Guard.LEASE}, "test_a_late_taking_of_the_fleet_gives_nobody_a_term_it_does_not_know"),
+    "intent": ({Guard.VERSION, Guard.TERM}, "test_an_intent_without_an_answer_is_not_rented_twice"),
+    "stop": ({Guard.VERSION}, ""),
+    "return": ({Guard.VERSION, Guard.TERM}, ""),
+    "remove": ({Guard.VERSION}, ""),
+    "estimate": ({Guard.VERSION}, "test_a_fold_of_run_times_without_an_answer_counts_once"),
+}
+"""By purpose: what guards it when it is late, and the test of its own meeting if it has one beside `LATE_TESTS`."""
+
+
+def test_the_table_of_guards_is_complete_and_names_tests_that_exist() -> None:
+    purposes = {kind.purpose for kind in KINDS.values()} - {"open_lease", "renew_lease", "close_lease"}
+    assert GUARDS.keys() == purposes
+    modules = sorted(Path(__file__).parent.glob("test_meetings_*.py"))
+    trees = [ast.parse(module.read_text()) for module in modules]
+    tests = {node.name for tree in trees for node in ast.walk(tree) if isinstance(node, ast.FunctionDef)}
+    assert LATE_TESTS | {test for _, test in GUARDS.values() if test} <= tests
+
+
+@dataclass
+class Sent:
+    """A transaction that came to the state service."""
+
+    purpose: str
+    body: Any
+    revision: int
+    """The revision when it came."""
+    status: int = 0
+
+
+class Journal:
+    """Notes all transactions of a model, and which of them could be carried out once more at a later time."""
+
+    def __init__(self, model: Model) -> None:
+        self.model = model
+        self.sent: list[Sent] = []
+        self.again: list[Sent] = []
+        """Those whose guards and leases held once more after other changes."""
+        self.looks = 0
+        self.troubles = Troubles(model, Kind("none"), Fate.LATE, armed=False)
+        self.troubles.before = self._note
+        self._handle = model.state.handle
+        model.state.handle = self._on_request  # type: ignore[method-assign]
+        self._purpose = ""
+        self._look()
+
+    def _note(self, transaction: Transaction) -> None:
+        self._purpose = transaction.purpose
+
+    def _on_request(self, now_us: int, method: str, path: str, body: Any) -> tuple[int, Any]:
+        revision = self.model.state.revision
+        status, answer = self._handle(now_us, method, path, body)
+        if path == "/txn" and body["apply"]:
+            self.sent.append(Sent(self._purpose, body, revision, status))
+        if path == "/txn" or method == "DELETE":
+            self._check()
+        return status, answer
+
+    def _look(self) -> None:
+        """Leases end between requests, too."""
+        self.model.state.expire(self.model.now)
+        self._check()
+        self.model.at(SECOND // 2, self._look)
+
+    def _check(self) -> None:
+        self.looks += 1
+        state = self.model.state
+        for sent in self.sent:
+            # Before anything has changed, a refusal for another reason may just be tried again.
+            late = sent.status == 200 or state.revision > sent.revision
+            if late and self._holds(sent.body) and sent not in self.again:
+                self.again.append(sent)
+
+    def _holds(self, body: Any) -> bool:
+        state = self.model.state
+        leases = [change["permit"] for change in body["apply"] if change.get("permit") is not None]
+        if not all(lease in state.leases for lease in leases):
+            return False
+        return all(state.keys.get(guard["k"], (None, 0))[1] == guard["stamp"] for guard in body["guards"])
+
+
+def play_work(hosts: int, seed: int) -> Journal:
+    """The usual work, with lost answers and controllers that hand over, end and are refused."""
+    model = Model(seed, hosts, OperatorSettings(group_size=2))
+    journal = Journal(model)
+    model.checks()
+    work(model)
+    model.lose_answers(0.2, 25.0)
+    model.at(8 * SECOND, lambda: model.crash(0, 4.0))
+    model.at(16 * SECOND, lambda: model.crash(1, 0.3))
+    model.run(30)
+    settle(model, 90)
+    check_nothing_is_left(model)
+    return journal
+
+
+@pytest.fixture(scope="module", params=[3, 5, 7])
+def journal(request: pytest.FixtureRequest) -> Journal:
+    """All that was sent in a run of the usual work with 3, 5 and 7 controllers."""
+    return play_work(request.param, request.param)
+
+
+def test_no_transaction_could_be_carried_out_a_second_time(journal: Journal) -> None:
+    """A copy of a transaction, or one that was refused, finds its guards broken for ever once its moment is past."""
+    assert journal.model.happened["answer lost"] > 10
+    assert journal.looks > 300
+    assert {sent.purpose for sent in journal.sent} >= GUARDS.keys() - {"split", "stop"}
+    # Only a presence may be written anew, under the lease of its own process.
+    assert {sent.purpose for sent in journal.again} <= {"sign in"}
+
+
+def test_each_record_that_is_written_is_guarded(journal: Journal) -> None:
+    """By its own version, or by that of the record that it takes the place of."""
+    assert len(journal.sent) > 150
+    for sent in journal.sent:
+        guards = {guard["k"]: guard["stamp"] for guard in sent.body["guards"]}
+        changed = [change.get("put") or change["remove"] for change in sent.body["apply"]]
+        for key in changed:
+            if key.startswith(CONTROLLER):
+                assert sent.purpose == "sign in"
+            elif key.startswith(OVER):
+                assert guards.get(LIVE + key.removeprefix(OVER), 0), sent
+            else:
+                assert key in guards, sent
+                assert guards[key] or guarded_while_absent(key, guards, sent.body["apply"]), sent
+
+
+def guarded_while_absent(key: str, guards: dict[str, int], apply: list[Any]) -> bool:
+    """Whether what is written where nothing was cannot be written there again once it has been removed."""
+    if key.startswith(LIVE):
+        return guards.get(OVER + key.removeprefix(LIVE)) == 0
+    if key.startswith(GROUP):
+        others = [other for other in guards if other != key and other.startswith((ADOPTED, GROUP))]
+        return any(other in [change.get("put") for change in apply] for other in others)
+    if key == FLEET:
+        return all(change.get("permit") is not None for change in apply)
+    # These are never removed.
+    return not key.startswith(SPLIT)
+
+
+# A job's record is absent before its acceptance, and absent again after its end
+
+
+class LatePlay(Play):
+    """A search in which some transactions get no answer: carried out at once, or at any later moment."""
+
+    most_lost = 1
+
+    def __init__(self, *args: Any) -> None:
+        self.lost = 0
+        self.met: set[str] = set()
+        super().__init__(*args)
+
+    def _steps(self) -> list[Any]:
+        steps = super()._steps()
+        if self._read_last is None and self.lost < self.most_lost:
+            own = [m for m in self.pending if m.node != ELSEWHERE and not m.is_read]
+            steps += [lambda m=m: self._lose(m) for m in own]
+        return steps
+
+    def _lose(self, message: Message) -> None:
+        """The sender gives a transaction up, which has been carried out or may still be."""
+        self.lost += 1
+        self.met.add("late" if message.reply is None else f"lost {message.reply.status}")
+        self.pending.remove(message)
+        if message.reply is None:
+            self.pending.append(Message(ELSEWHERE, -1000 * message.node - message.call_id, message.call))
+        message.reply, message.executed = Reply(0), 0
+        self._deliver(message)
+
+    def _execute(self, message: Message) -> None:
+        super()._execute(message)
+        live, over = LIVE + SEARCHED_JOB in self.state.keys, OVER + SEARCHED_JOB in self.state.keys
+        assert not (live and over), "a job that is over is live again"
+
+    def _mark(self) -> Any:
+        return hash((super()._mark(), self.lost))
+
+
+def end_by(node: int) -> Action:
+    """A controller moves the record of the job, which is done, once it has read it."""
+
+    def known(play: Play) -> bool:
+        return SEARCHED_JOB in play.nodes[node].core.picture.jobs
+
+    def end(play: Play) -> None:
+        def build(core: Any) -> Txn | None:
+            job = core.picture.jobs.get(SEARCHED_JOB)
+            return None if job is None else end_job(Txn(), job, "done", job.spec.tasks, 0)
+
+        play.commit(node, build)
+
+    return Action("end", node, end, known)
+
+
+@pytest.mark.parametrize(("repeater", "ender", "most_lost"), [(1, 1, 1), (1, 0, 1), *some([], [(1, 1, 2)])])
+def test_no_order_of_a_late_acceptance_and_the_job_s_end_revives_it(repeater, ender, most_lost):
+    plays: list[LatePlay] = []
+
+    def begin(chooser: Chooser) -> Play:
+        actions = [submit_at(0), submit_at(repeater), end_by(ender)]
+        play = LatePlay(world(), 2, actions, chooser)
+        play.most_lost = most_lost
+        plays.append(play)
+        return play
+
+    found = explore(begin)
+    met = set().union(*(play.met for play in plays))
+    assert {"late", "lost 200", "lost 409"} <= met
+    assert found.schedules > 50
+    assert any("submit: done" in ending for ending in found.endings)
+
+
+# The fleet's key is absent whenever its holder has left
+
+
+@pytest.mark.parametrize("hosts", [3, 5, 7])
+def test_a_late_taking_of_the_fleet_gives_nobody_a_term_it_does_not_know(hosts: int) -> None:
+    model = Model(3, hosts, OperatorSettings(group_size=2))
+    model.checks()
+    model.run(4)
+    # Both tries of the first successor; the second successor takes the key meanwhile.
+    troubles = Troubles(model, KINDS["term of the fleet"], Fate.LATE, count=2, late_s=(NEVER_S, NEVER_S))
+    leave(model, runner_of(model))
+    while model.now < 30 * SECOND and not (len(troubles.meetings) == 2 and runner_of(model) is not None):
+        model.run(0.05)
+    second = runner_of(model)
+    first = int(troubles.meetings[0].transaction.source[1:])
+    assert second is not None and second != first
+    leave(model, second)
+    # The key is absent once more, as it was when the late one was sent.
+    while FLEET in model.state.keys and model.now < 60 * SECOND:
+        model.run(0.001)
+    assert FLEET not in model.state.keys
+    troubles.carry_out(troubles.meetings[0])
+    assert troubles.meetings[0].status == 200
+    for _ in range(100):
+        model.run(0.05)
+        # One that has given its lease up commits nothing under its term, and is not told yet.
+        leases = [host.core.runner.lease for host in model.hosts if host.core is not None]
+        assert sum(lease.running and lease.holds() for lease in leases) <= 1
+    core = model.hosts[runner_of(model)].core
+    assert core.runner.lease.term == model.state.keys[FLEET][1]
+    # The other one, of the same sender, finds the key taken.
+    troubles.carry_out(troubles.meetings[1])
+    assert troubles.meetings[1].status == 409
+    model.submit(submission("job-0", pieces=4, crew="free", hulls=["small"]))
+    settle(model, 60)
+    check_nothing_is_left(model)
+
+
+def runner_of(model: Model) -> int | None:
+    """The controller that runs the fleet."""
+    running = [host.number for host in model.hosts if host.core is not None and host.core.runner.running]
+    return running[0] if running else None
+
+
+def leave(model: Model, number: int | None) -> None:
+    """A controller is told to end; it gives its lease up, ends half a second later and is back after 3 s."""
+    assert number is not None
+    host = model.hosts[number]
+    model.carry_out(host, host.core.stop(*model.clock(host)))
+    model.at(SECOND // 2, lambda: model.crash(number, 3.0))
