--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -20,7 +20,7 @@
 from ashtray.placement.state_keys import TEAM
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
-from ashtray.teams.grants import Grants, Share
+from ashtray.teams.grants import URGENT, Grants, Share
 from ashtray.workers.desk import Desk
 from ashtray.workers.folding import Fold
 
@@ -29,6 +29,8 @@
 OVERRIPE_US = 4 * SECOND_US
 RESHARE_US = SECOND_US // 4
 MAX_RESHARE_US = SECOND_US
+YIELD_US = 6 * RESHARE_US
+"""For so long a controller whose share was lowered by another asks for none, unless for urgent jobs or gangs."""
 HOLD_BYTES = 160
 JOB_BYTES = 600
 """About what a hold, and a job's record, take of a transaction."""
@@ -96,6 +98,8 @@
         """As it was last served."""
         self._reshared: dict[str, tuple[int, int]] = {}
         """When a team's shares were last changed here, and how long to wait before they are again."""
+        self._own_shares: dict[str, Share] = {}
+        """This controller's share of each team's limit when it last saw to it."""
 
     def widen(self) -> float:
         """The chance of a pick among the best few: it rises with conflicts, up to a cap."""
@@ -337,16 +341,31 @@
                 self._again()
                 continue
             at_us, pause_us = self._reshared.get(team, (0, 0))
-            if base.kernel.now_us < at_us + pause_us:
+            if base.kernel.now_us < at_us + pause_us or self._yields_share(team, jobs):
                 continue
             build = partial(self._shares_for, team, jobs)
             good = yield from base.follower.commit(build, 1, Urgency.PLACE, "share")
             # While it does not help it is tried ever more seldom: the limit itself may bind.
             pause_us = RESHARE_US if good else min(max(2 * pause_us, RESHARE_US), MAX_RESHARE_US)
             self._reshared[team] = (base.kernel.now_us, pause_us)
+            self._own_shares[team] = self.grants.own_share(team)
             if good and (yield from base.follower.barrier()):
                 self._again()
 
+    def _yields_share(self, team: str, jobs: list[ShortJob]) -> bool:
+        """Whether another controller has lowered this one's share of a limit and is to have the time to take that.
+
+        It may raise its own only by a later change (safety point 8).  Found by the model: until then this controller
+        had taken back what was in nobody's share, too early for either to place a task with it, without end.
+        """
+        own, before = self.grants.own_share(team), self._own_shares.get(team, (0.0, 0.0))
+        lowered = any(own[n] < before[n] - EPS for n in (0, 1))
+        self._own_shares[team] = own
+        if not lowered or any(short.job.priority <= URGENT or short.job.spec.kind == "gang" for short in jobs):
+            return False
+        self._reshared[team] = (self.base.kernel.now_us, YIELD_US)
+        return True
+
     def _note_short(self, short: ShortJob) -> None:
         """Remember a job to ask a share for: the first of its team, and the one behind gangs, which may fit nowhere.
 
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -110,6 +110,10 @@
             shares = dict.fromkeys(self.hosts, (team.cpus_max / n, team.gpus_max / n))
         return shares
 
+    def own_share(self, name: str) -> Share:
+        """This controller's share of a team's limit, by the picture."""
+        return self._shares(name).get(self.host, (0.0, 0.0))
+
     def lines(self, waiting: Mapping[str, Sized]) -> list[str]:
         """For each limit how much of it is used, and how much lies in whose share, for people."""
         wait: dict[str, int] = dict.fromkeys(self.teams, 0)
