--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -67,6 +67,7 @@
         """This process has been told to end: nothing is its duty any more."""
 
     def run(self) -> Fiber[None]:
+        """Keep this controller signed in: open a lease, write the key under it, renew it, and open the next."""
         base = self.base
         key = CONTROLLER + base.settings.host_name
         opened: tuple[int, int] | None = None
@@ -166,6 +167,7 @@
         return self._able
 
     def foreman(self, key: str) -> str:
+        """The live controller that looks after a key, by rendezvous hashing."""
         able = self.able()
         found = self._foremen.get(key)
         if found is None:
@@ -239,6 +241,8 @@
 
 @dataclass
 class PeerState:
+    """What is known of one peer, by its own heartbeats and by the calls to it."""
+
     host: str
     address: str
     word_us: int = -(10**15)
@@ -289,6 +293,7 @@
         """Changes a second that it would like to make; one that has just started has many to make."""
 
     def run(self, peer: PeerState) -> Fiber[None]:
+        """Send a peer this controller's heartbeats, and take in its answers."""
         kernel = self.base.kernel
         while True:
             asked_us = kernel.now_us
@@ -397,6 +402,7 @@
         return self.base.picture.cancellations.statement(followed_from, beyond)
 
     def on_word(self, request_id: int, body: Any) -> None:
+        """Answer a peer's heartbeat, and note what it says; 400 if it is malformed or its sender unknown."""
         kernel = self.base.kernel
         peer = self.peers.get(str(body.get("host"))) if isinstance(body, dict) else None
         if peer is None:
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -67,6 +67,8 @@
 
 
 class Placer:
+    """Serves the queue of jobs that wait: plans, commits placements, and sees to the shares of limits."""
+
     def __init__(
         self, base: Base, presence: Presence, grants: Grants, pace: Pace, planner: Planner, desk: Desk
     ) -> None:
@@ -108,6 +110,7 @@
         return min(sum(self.window) / len(self.window), self.base.knobs.widen_cap)
 
     def run(self) -> Fiber[None]:
+        """Serve the queue again and again: after changes, or after a pause."""
         while True:
             if not self._hurry:
                 yield Wait(self.kick, RETRY_US)
@@ -122,6 +125,7 @@
                 yield Sleep(PAUSE_US * 2**self._vain + work_us + self.base.kernel.behind_us)
 
     def changed(self) -> None:
+        """Wake the loop if the picture has changed since the last round."""
         if self.base.picture.changes != self._seen:
             self.base.kernel.fire(self.kick)
 
@@ -524,6 +528,7 @@
         self.count = len(self.tasks)
 
     def groups(self) -> set[str]:
+        """The keys of the groups in which this places tasks."""
         return {room.machine.group for room, _ in self.choices}
 
 
@@ -567,6 +572,7 @@
         self._bytes = 0
 
     def changes(self) -> int:
+        """How many changes the transaction makes: one for each job and group."""
         return len(self.items) + len(self.groups)
 
     def _size(self, item: Item) -> int:
@@ -586,6 +592,7 @@
         return changes <= self.limits.ops and self._bytes + self._size(item) <= self.limits.txn_bytes
 
     def add(self, item: Item) -> None:
+        """Take an item into the batch, unless its job is gone."""
         job = self.picture.jobs.get(item.job_id)
         if job is None:
             return
@@ -645,6 +652,7 @@
         return not spec.spread or max(zones.values()) <= (spec.tasks + 1) // 2
 
     def add(self, job: Job, item: Item, number: int, wall_us: int, host: str) -> None:
+        """Add the allocations of one item to the edits of its groups, and the job's attempt to its record."""
         spec = job.spec
         left = list(item.tasks)
         for room, n in item.choices:
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -102,6 +102,7 @@
         self.floor = floor
 
     def plan(self) -> Plan:
+        """A plan of the picture as it is now."""
         base = self._base
         return Plan(base.picture, base.teams, base.knobs, base.kernel.rng, base.limits)
 
@@ -173,6 +174,7 @@
         """Rooms looked at closely: what the work of a plan grows with."""
 
     def add_freed(self, freed: dict[str, tuple[float, float, float]]) -> None:
+        """Count what reports have freed, in CPUs, GPUs and GB by machine, though no commit has yet."""
         for name, (cpus, gpus, memory) in freed.items():
             machine = self.picture.machines[name]
             kind = self.picture.types.get(machine.type)
@@ -216,6 +218,7 @@
         return LEAN_HOLD_BYTES if self.lean else HOLD_BYTES + len(job.id) + len(job.spec.team)
 
     def ask(self, job: Job) -> Ask:
+        """What a job asks of a machine, for the rules."""
         spec = job.spec
         ask = Ask(spec, scarcity=self.scarcity, spare_gpus=self._spares_gpus(job), priority=job.priority)
         ask.hold_bytes = self._base_bytes(job)
@@ -237,6 +240,7 @@
         return job.spec.gpus == 0 and self.gpus_wait <= job.priority
 
     def zones(self) -> list[str]:
+        """The names of the zones that have machines, sorted."""
         return sorted({room.machine.zone for room in self.rooms})
 
     def place(
@@ -421,6 +425,7 @@
         )
 
     def take(self, job: Job, choices: Iterable[Choice]) -> None:
+        """Take a job's places out of the free room of their machines."""
         base = self._base_bytes(job)
         for room, n in choices:
             room.take(job.spec, n)
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -84,6 +84,7 @@
         return taken
 
     def covers(self, tasks: Iterable[tuple[Hold, int]]) -> bool:
+        """Whether the tasks may be stopped together within the excess of their teams."""
         return self._excess.allows(self.claimed(tasks))
 
 
--- a/ashtray/store/client.py
+++ b/ashtray/store/client.py
@@ -53,14 +53,17 @@
         self.at_us = now_us
 
     def refill(self, now_us: int) -> None:
+        """Add what has come in since the last time."""
         self.level = min(self.rate * self.burst_s, self.level + self.rate * (now_us - self.at_us) / SECOND_US)
         self.at_us = now_us
 
     def has(self, amount: float, overdraft: float = 0.0) -> bool:
+        """Whether so much may be taken now, with an overdraft."""
         # A request larger than the whole bucket goes out on a full one and leaves a debt.
         return self.level + overdraft >= min(amount, self.rate * self.burst_s)
 
     def wait_us(self, amount: float, overdraft: float = 0.0) -> int:
+        """How long until so much may be taken, if nothing else is taken meanwhile."""
         short = min(amount, self.rate * self.burst_s) - self.level - overdraft
         return int(max(short, 0.0) / self.rate * SECOND_US) + 1000
 
@@ -109,6 +112,7 @@
         self._eager /= 4
 
     def admit(self, urgency: Urgency, amount: float) -> Fiber[None]:
+        """Return once a request of this amount may be sent."""
         self.bucket.refill(self.kernel.now_us)
         first = not self.waiting or self.waiting[0][0] > urgency
         has = self.bucket.has(amount, self._overdraft(urgency))
@@ -195,6 +199,7 @@
             )
 
     def backlog(self) -> int:
+        """How many requests wait for their budgets."""
         return len(self.requests.waiting) + len(self.changes.waiting)
 
     def share(self, requests: float, changes: float) -> None:
@@ -229,15 +234,18 @@
                 self.kernel.log("debug", f"state: {method} {path}: {reply.status} after {ms} ms")
 
     def read(self, key: str, urgency: Urgency = Urgency.ACCEPT) -> Fiber[Reply]:
+        """Read one key: 200 with its value and version, or 404."""
         return (yield from self.request(urgency, "GET", f"/store/{key}"))
 
     def page(self, prefix: str, after: str | None) -> Fiber[Reply]:
+        """Read the next page of the keys under a prefix, after a key."""
         path = f"/store?under={quote(prefix, safe='')}&page=1000"
         if after is not None:
             path += f"&after={quote(after, safe='')}"
         return (yield from self.request(Urgency.KEEP_ALIVE, "GET", path, purpose="load"))
 
     def follow(self, prefix: str, revision: int) -> Fiber[Reply]:
+        """Read what has changed under a prefix since a revision, without waiting for changes."""
         path = f"/follow?under={quote(prefix, safe='')}&after={revision}&wait_ms=0"
         return (yield from self.request(Urgency.KEEP_ALIVE, "GET", path, tries=1, purpose="follow"))
 
@@ -294,14 +302,17 @@
         )
 
     def open_lease(self, life_us: int) -> Fiber[Reply]:
+        """Open a lease that ends by itself after so long (us)."""
         body = {"life_ms": life_us // 1000}
         return (yield from self.request(Urgency.KEEP_ALIVE, "POST", "/leases", body, purpose="lease"))
 
     def renew_lease(self, lease: int) -> Fiber[Reply]:
+        """Renew a lease; 404 if it has ended."""
         path = f"/leases/{lease}/renew"
         return (yield from self.request(Urgency.KEEP_ALIVE, "POST", path, {}, purpose="lease"))
 
     def close_lease(self, lease: int) -> Fiber[Reply]:
+        """End a lease at once, with the keys attached to it."""
         return (yield from self.request(Urgency.KEEP_ALIVE, "DELETE", f"/leases/{lease}", purpose="lease"))
 
 
@@ -337,6 +348,7 @@
 
     @classmethod
     def of(cls, limits: StateLimits) -> Limits:
+        """The limits that the settings state, with the lower ones that are to come."""
         ops, value_kb = limits.txn_ops, limits.value_kb
         if limits.next is not None:
             ops, value_kb = min(ops, limits.next.txn_ops), min(value_kb, limits.next.value_kb)
@@ -354,6 +366,7 @@
         return not self.low and (self.least_ops < self.ops or self.least_value_bytes < self.value_bytes)
 
     def lower(self) -> None:
+        """Go over to the lower limits."""
         self.low = True
         self.first_value_bytes = self.value_bytes
         self.ops, self.value_bytes = self.least_ops, self.least_value_bytes
@@ -390,23 +403,28 @@
         """It got no answer: it may have been applied, or may still be."""
 
     def guard(self, key: str, version: int) -> Txn:
+        """Let the transaction fail unless the key has this version; 0: unless it is absent."""
         self.guards[key] = version
         return self
 
     def put(self, key: str, value: Any, lease: int | None = None) -> Txn:
+        """Write a record, attached to a lease if one is given."""
         self.puts[key] = value
         if lease is not None:
             self.leases[key] = lease
         return self
 
     def remove(self, key: str) -> Txn:
+        """Remove a record."""
         self.removes.append(key)
         return self
 
     def changes(self) -> int:
+        """How many puts and removals there are."""
         return len(self.puts) + len(self.removes)
 
     def body(self) -> dict[str, Any]:
+        """The request's body, in the words of the state service."""
         apply: list[dict[str, Any]] = []
         for key, value in self.puts.items():
             change = {"put": key, "value": value}
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -22,11 +22,14 @@
 class Mirror(Protocol):
     """What a follower fills."""
 
-    def clear(self) -> None: ...
+    def clear(self) -> None:
+        """Forget all records: they are read anew."""
 
-    def put(self, key: str, value: Any, version: int) -> None: ...
+    def put(self, key: str, value: Any, version: int) -> None:
+        """A record was written with this version."""
 
-    def remove(self, key: str, version: int) -> None: ...
+    def remove(self, key: str, version: int) -> None:
+        """A record was removed at this revision."""
 
     def read(self, revision: int) -> None:
         """All changes up to that revision have been put or removed; later ones only where they are this process's."""
@@ -72,6 +75,7 @@
         """Somebody who is in a hurry waits for the next round: it is not put off."""
 
     def run(self) -> Fiber[None]:
+        """Read what has changed, again and again; a round ends the waits that began before it."""
         while True:
             waiters, self._waiters = self._waiters, []
             self._hurry = False
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -39,6 +39,8 @@
 
 
 class Desk:
+    """Takes the reports of workers, owns workers, gives them orders, and folds what they report into records."""
+
     def __init__(self, base: Base, presence: Presence, peers: Peers, pace: Pace, renewal: RenewalGuard) -> None:
         self.base = base
         self.renewal = renewal
@@ -68,6 +70,7 @@
     # Reports
 
     def on_report(self, request_id: int, body: Any) -> None:
+        """Answer a worker's report: 200 with a token and orders, 421 to send it elsewhere, 400, or 503 while it may not act."""
         report = parse_report(body)
         if report is None:
             self.kernel.answer(request_id, 400, {"error": "malformed report"})
@@ -222,6 +225,7 @@
     # Tending: fold what is learnt, tell what is to do
 
     def tend(self, worker: Worker) -> None:
+        """See to a worker: compare its report with its record, and send the orders that follow."""
         worker.again = True
         if not worker.tending and self._needs(worker):
             self.kernel.spawn(self._tend(worker))
@@ -429,6 +433,7 @@
         self.kernel.fire(self._fold_kick)
 
     def fold_soon(self, machine: Machine, urgent: bool) -> None:
+        """Note that a machine's report is to be folded into its group's record, at once if it is urgent."""
         self._dirty.setdefault(machine.group, set()).add(machine.name)
         if urgent:
             self._urgent.add(machine.group)
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -57,6 +57,7 @@
     """What completed is written into the job's own record, not into the group's."""
 
     def add(self, other: JobFold) -> None:
+        """Add what another fold of the same job says."""
         self.finished |= other.finished
         self.broken = max(self.broken, other.broken)
         self.errors += other.errors
@@ -397,6 +398,7 @@
             self.jobs[job.id] = JobFold(ends=True)
 
     def transaction(self) -> Txn | None:
+        """The transaction that writes all that was added; None if there is nothing to write."""
         if not self._ops:
             return None
         txn = Txn()
--- a/tests/model.py
+++ b/tests/model.py
@@ -129,9 +129,11 @@
     # Time
 
     def at(self, delay_us: int, event: Callable[[], None]) -> None:
+        """Let an event happen after a delay (us)."""
         heapq.heappush(self._events, (self.now + max(delay_us, 0), next(self._seq), event))
 
     def run(self, seconds: float) -> None:
+        """Let so many seconds pass."""
         end = self.now + int(seconds * SECOND)
         while self._events and self._events[0][0] <= end:
             self.now, _, event = heapq.heappop(self._events)
@@ -141,6 +143,7 @@
     # Controllers
 
     def start_host(self, host: Host) -> None:
+        """Start a controller's process."""
         host.life += 1
         rng = random.Random(self.rng.random())
         if host.old:
@@ -176,6 +179,7 @@
         self.state.value_kb, self.state.txn_ops = self.following
 
     def clock(self, host: Host) -> tuple[int, int]:
+        """The steady clock and the time of day of a controller (us)."""
         steady_us = self.now + self.now * host.drift_ppm // MILLION
         return steady_us + SECOND, self.now + 10**12 + host.skew_us
 
@@ -187,6 +191,7 @@
             host.drift_ppm = self.rng.choice((-most_ppm, 0, most_ppm))
 
     def crash(self, number: int, back_s: float) -> None:
+        """End a controller's process with no signal; it is back after so many seconds."""
         host = self.hosts[number]
         host.core, host.inbox, host.busy = None, Inbox(), False
         host.life += 1
@@ -194,6 +199,7 @@
         self.at(int(back_s * SECOND), lambda: self.start_host(host) if host.life == life else None)
 
     def carry_out(self, host: Host, outputs: list[Output]) -> None:
+        """Carry out what a core puts out: requests, answers, timers and log lines."""
         core = host.core
         assert core is not None
         for output in outputs:
@@ -289,9 +295,11 @@
     # Network
 
     def hop(self) -> int:
+        """How long a message takes between two hosts (us), by chance."""
         return int(self.rng.uniform(0.0002, 0.004) * SECOND)
 
     def cut(self, a: str, b: str, seconds: float, hold: bool) -> None:
+        """Cut two hosts off from one another; messages are lost, or held until the cut is over."""
         self.cuts[frozenset((a, b))] = (self.now + int(seconds * SECOND), hold)
 
     def _path(self, a: str, b: str) -> int | None:
@@ -522,6 +530,7 @@
             self.check_woken(name)
 
     def lose_machine(self, index: int) -> None:
+        """Let the cloud take one of the machines without notice."""
         alive = sorted(self.workers)
         if alive:
             self.cloud.end(self.now, alive[index % len(alive)], "taken")
