--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -70,7 +70,7 @@
     # Reports
 
     def on_report(self, request_id: int, body: Any) -> None:
-        """Answer a report: 200 with a token and orders, 421 to send it elsewhere, 400, or 503 while not able to act."""
+        """Answer a report: 200 with a token and orders, 421 to send it elsewhere, 400, or 503 if unable to act."""
         report = parse_report(body)
         if report is None:
             self.kernel.answer(request_id, 400, {"error": "malformed report"})
