--- a/ashtray/base.py
+++ b/ashtray/base.py
@@ -7,20 +7,20 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Settings, Team
 from ashtray.kernel import Kernel
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.store.client import Limits, StoreClient
 from ashtray.store.follower import Follower
 
 
 @dataclass(frozen=True)
 class Base:
-    """Settings, time, and the way to the state service with the late picture of what is in it."""
+    """Settings, time, and the way to the state service with the late cluster state of what is in it."""
 
     settings: Settings
     knobs: OperatorSettings
     teams: dict[str, Team]
     kernel: Kernel
     limits: Limits
-    picture: Picture
+    cluster_state: ClusterState
     store: StoreClient
     follower: Follower
--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -22,7 +22,7 @@
 from ashtray.peers import announcements
 from ashtray.peers.announcements import CancellationNotice, CancellationReceipt
 from ashtray.peers.presence import Peers, Presence, word_us
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.minimum_share import MinimumShare
 from ashtray.placement.placer import Placer
 from ashtray.placement.plan import Planner
@@ -55,26 +55,35 @@
         self.teams = {team.name: team for team in settings.cluster.teams}
         self.kernel = Kernel(rng, verbose)
         self.limits = Limits.of(settings.cluster.state)
-        self.picture = Picture(
+        self.cluster_state = ClusterState(
             int(self.limits.least_value_bytes * VALUE_SHARE), most_later(self.limits), lambda: self.kernel.wall_us
         )
         hosts = [peer.host_name for peer in settings.others]
-        self.grants = Grants(settings.host_name, hosts, settings.cluster.teams, self.picture)
+        self.grants = Grants(settings.host_name, hosts, settings.cluster.teams, self.cluster_state)
         self._seen = -1
         self.ended = False
         """Told to end, it has handed its duties over."""
         self.store = StoreClient(
             self.kernel, settings.services.state, settings.cluster.state, nodes=max(settings.cluster.nodes, 1)
         )
-        self.follower = Follower(self.kernel, self.store, ROOT, NOW, self.picture, self._changed)
+        self.follower = Follower(self.kernel, self.store, ROOT, NOW, self.cluster_state, self._changed)
         base = Base(
-            settings, operator_settings, self.teams, self.kernel, self.limits, self.picture, self.store, self.follower
+            settings,
+            operator_settings,
+            self.teams,
+            self.kernel,
+            self.limits,
+            self.cluster_state,
+            self.store,
+            self.follower,
         )
         pace = Pace(
-            settings.cluster.objectives, operator_settings.patience_s, lambda job_id: self.picture.jobs.get(job_id)
+            settings.cluster.objectives,
+            operator_settings.patience_s,
+            lambda job_id: self.cluster_state.jobs.get(job_id),
         )
         times = StatedTimes(settings.cluster.objectives, pace)
-        planner = Planner(base, times, MinimumShare(self.picture, pace))
+        planner = Planner(base, times, MinimumShare(self.cluster_state, pace))
         self.presence = Presence(base, self.grants, FailureDetector(hosts, word_us(len(hosts))))
         self.renewal = RenewalGuard(settings.cluster.workers, hosts)
         self.peers = Peers(
@@ -100,8 +109,8 @@
 
     def _cancelled_elsewhere(self, job_ids: list[str]) -> None:
         """A peer knows of cancellations that this controller may not have read: end the jobs' tasks."""
-        if self.picture.note_cancelled_elsewhere(job_ids):
-            self.desk.tend_all(self.picture.take_touched())
+        if self.cluster_state.note_cancelled_elsewhere(job_ids):
+            self.desk.tend_all(self.cluster_state.take_touched())
 
     def _peer_stated(self, host: str, asked_us: int, cancelled: list[str]) -> None:
         """A peer has stated all cancellations that it knows and this controller had not read."""
@@ -126,7 +135,7 @@
 
     def _changed(self) -> None:
         self.limits.refused = self.store.refused
-        if not self.limits.alike and (self.presence.upgraded() or self.picture.lean or self.store.refused):
+        if not self.limits.alike and (self.presence.upgraded() or self.cluster_state.lean or self.store.refused):
             self.kernel.log("info", "all controllers are of this version: records are written in lean form")
             self.limits.alike = True
         if self.limits.alike and self.limits.fall:
@@ -134,11 +143,11 @@
             self.limits.lower()
         self.grants.seen(self.follower.revision)
         self.estimate_store.changed()
-        if self.picture.changes != self._seen:
-            self._seen = self.picture.changes
+        if self.cluster_state.changes != self._seen:
+            self._seen = self.cluster_state.changes
             self.placer.changed()
-            self.desk.tend_all(self.picture.take_touched())
-        if self.picture.unsure():
+            self.desk.tend_all(self.cluster_state.take_touched())
+        if self.cluster_state.unconfirmed():
             # The next stage of a pipeline may wait for it.
             self.follower.hurry()
 
@@ -148,22 +157,22 @@
             parts = [f"{name} {number}" for name, number in sorted(counts.items())]
             self.kernel.log("debug", f"counters of {COUNT_US // SECOND_US} s, {what}: {', '.join(parts)}")
             counts.clear()
-        picture = self.picture
-        waiting = sum(len(tasks) for tasks in picture.waiting().values())
+        cluster_state = self.cluster_state
+        waiting = sum(len(tasks) for tasks in cluster_state.waiting().values())
         self.kernel.log(
             "debug",
-            f"picture: {len(picture.machines)} machines, {len(picture.groups)} groups, {len(picture.jobs)} jobs, "
-            f"{waiting} tasks wait, {len(self.desk.workers)} workers here",
+            f"cluster state: {len(cluster_state.machines)} machines, {len(cluster_state.groups)} groups, "
+            f"{len(cluster_state.jobs)} jobs, {waiting} tasks wait, {len(self.desk.workers)} workers here",
         )
         by_class: Counter[str] = Counter()
-        for job_id, tasks in picture.waiting().items():
-            by_class[picture.jobs[job_id].spec.job_class] += len(tasks)
+        for job_id, tasks in cluster_state.waiting().items():
+            by_class[cluster_state.jobs[job_id].spec.job_class] += len(tasks)
         self.kernel.log("debug", f"waiting: {', '.join(f'{name} {n}' for name, n in by_class.most_common())}")
-        for line in self.grants.lines(picture.waiting()):
+        for line in self.grants.lines(cluster_state.waiting()):
             self.kernel.log("debug", line)
         held: dict[str, list[float]] = {}
-        for machine in picture.machines.values():
-            kind = picture.types.get(machine.type)
+        for machine in cluster_state.machines.values():
+            kind = cluster_state.types.get(machine.type)
             if kind is not None:
                 sums = held.setdefault(f"{'spot ' if machine.record.spot else ''}{kind.name}", [0.0] * 6)
                 idle = 0.0 if machine.holds else 1.0
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -3,8 +3,8 @@
 Such an addition is called a fold.  A record names the last fold of each controller that is in it, so that one whose
 commit got no answer counts once (safety point 20 of `docs/design.md`): a later version of the record shows whether it
 was applied, and until there is one the same fold is sent again.  All of these guard the same version, so one at most
-is applied.  The records lie under `now/`, so a controller that starts has them with its first picture, before its
-first placement.
+is applied.  The records lie under `now/`, so a controller that starts has them with its first cluster state,
+before its first placement.
 """
 
 from __future__ import annotations
@@ -132,9 +132,9 @@
 
     def changed(self) -> None:
         """Take in records that have changed."""
-        picture = self.base.picture
-        for key, value in picture.estimates.items():
-            version = picture.version(key)
+        cluster_state = self.base.cluster_state
+        for key, value in cluster_state.estimates.items():
+            version = cluster_state.version(key)
             if self._read.get(key) == version:
                 continue
             self._read[key] = version
@@ -153,7 +153,7 @@
     def _settle(self, shard: int, record: EstimateRecord) -> None:
         """See in a record whether it holds the fold without an answer; no later version can, if this one does not."""
         sent = self._unanswered.get(shard)
-        if sent is None or self.base.picture.version(self.key(shard)) <= sent.version:
+        if sent is None or self.base.cluster_state.version(self.key(shard)) <= sent.version:
             return
         del self._unanswered[shard]
         if record.applied.get(self.base.settings.host_name) != sent.fold:
@@ -202,14 +202,14 @@
 
         txn, reply = yield from base.store.commit(build, 1, Urgency.BOOKKEEPING, "estimate")
         if txn is not None and reply.status == 200:
-            base.picture.put(self.key(shard), txn.puts[self.key(shard)], reply.body["ledger"])
+            base.cluster_state.put(self.key(shard), txn.puts[self.key(shard)], reply.body["ledger"])
             self.changed()
         elif again is not None:
             # The first one may be applied still.
             return
         elif txn is not None and txn.doubt:
             self._unanswered[shard] = Unanswered(fold, dict(taken), txn.guards[self.key(shard)])
-            if base.picture.version(self.key(shard)) > self._unanswered[shard].version:
+            if base.cluster_state.version(self.key(shard)) > self._unanswered[shard].version:
                 # A later record was read before the answer was given up.
                 self._read.pop(self.key(shard), None)
                 self.changed()
@@ -220,9 +220,9 @@
         """The change of a shard's record that adds these rows; None where the record cannot be read."""
         base, key = self.base, self.key(shard)
         try:
-            record = read(base.picture.estimates[key]) if key in base.picture.estimates else None
+            record = read(base.cluster_state.estimates[key]) if key in base.cluster_state.estimates else None
             most = int(base.limits.least_value_bytes * 0.9)
             new = folded(record, base.settings.host_name, fold, rows, most)
         except UnreadableRecord:
             return None
-        return Txn().guard(key, base.picture.version(key)).put(key, msgspec.to_builtins(new))
+        return Txn().guard(key, base.cluster_state.version(key)).put(key, msgspec.to_builtins(new))
--- a/ashtray/fleet/boot_times.py
+++ b/ashtray/fleet/boot_times.py
@@ -4,7 +4,7 @@
 
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 
 WEIGHT = 0.15
 """The weight of the newest boot in the exponential average."""
@@ -20,9 +20,9 @@
 class BootTimes:
     """Boot times by machine kind, as ratios to those of the catalogue.  All times are microseconds."""
 
-    def __init__(self, picture: Picture, patience: float) -> None:
+    def __init__(self, cluster_state: ClusterState, patience: float) -> None:
         """`patience`: after how many expected boot times a machine is overdue."""
-        self._picture = picture
+        self._cluster_state = cluster_state
         self._patience = patience
         self._ratios: dict[MachineKind, float] = {}
         self._last_ratios: dict[MachineKind, float] = {}
@@ -31,7 +31,7 @@
         """Of the machines of each kind that have come up, when the one requested last was requested."""
 
     def _catalogue_us(self, kind: MachineKind) -> int:
-        machine_type = self._picture.types.get(kind.type)
+        machine_type = self._cluster_state.types.get(kind.type)
         return machine_type.boot_us if machine_type is not None else UNKNOWN_US
 
     def record(self, kind: MachineKind, requested_us: int, now_us: int) -> None:
--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -53,7 +53,7 @@
         """Begin to return what never came up, what fell silent, what failed, and what is idle."""
         lost = self.review.lost_pending() + self.review.lost_or_idle()
         yield from self._save_gangs()
-        machines = self.base.picture.machines
+        machines = self.base.cluster_state.machines
         self.inventory.draining.update(name for name in lost if name not in machines)
         yield from self._drain([name for name in lost if name in machines])
 
@@ -62,13 +62,13 @@
 
         A gang that cannot be stopped in one transaction is left to its last checkpoint, for a part would lose it all.
         """
-        picture = self.base.picture
+        cluster_state = self.base.cluster_state
         seen: set[str] = set()
-        for machine in list(picture.machines.values()):
+        for machine in list(cluster_state.machines.values()):
             if not machine.record.retiring or machine.name in self.inventory.draining:
                 continue
             for hold in machine.holds:
-                job = picture.jobs.get(hold.job)
+                job = cluster_state.jobs.get(hold.job)
                 if job is None or job.id in seen or not orderly(job, hold):
                     continue
                 seen.add(job.id)
@@ -76,9 +76,9 @@
 
     def _stop_gang(self, job: Job, machine: Machine) -> Fiber[None]:
         victims: Victims = {}
-        for (name, _), hold in self.base.picture.held[job.id].items():
+        for (name, _), hold in self.base.cluster_state.allocations[job.id].items():
             victims.setdefault(name, {}).setdefault((job.id, hold.attempt), set()).update(hold.tasks)
-        build = partial(stop_victims, self.base.picture, victims, self.base.limits, whole=True)
+        build = partial(stop_victims, self.base.cluster_state, victims, self.base.limits, whole=True)
         if (yield from self.base.follower.commit(build, len(victims), Urgency.FREE, "stop")):
             self.kernel.log("info", f"{job.id} saves: {machine.name} goes")
 
@@ -88,7 +88,7 @@
         draining = self.inventory.draining
         remaining = [name for name in names if name not in draining]
         for _ in range(MAX_COMMITS):
-            machines = self.base.picture.machines
+            machines = self.base.cluster_state.machines
             draining.update(name for name in remaining if name in machines and machines[name].record.retiring)
             remaining = [name for name in remaining if name in machines and not machines[name].record.retiring]
             if not remaining:
@@ -115,7 +115,7 @@
             return None
         edits = GroupEdits(self.base)
         for name in names:
-            machine = self.base.picture.machines.get(name)
+            machine = self.base.cluster_state.machines.get(name)
             if machine is None or machine.record.retiring or (name in idle and machine.holds):
                 continue
             if not edits.has_room(machine, 0):
@@ -146,7 +146,7 @@
 
         Tasks may have been placed on them: only a marked machine is deleted (safety point 1).
         """
-        machines = self.base.picture.machines
+        machines = self.base.cluster_state.machines
         draining = self.inventory.draining
         adopted = [name for name in draining if name in machines and not machines[name].record.retiring]
         for name in adopted:
@@ -158,7 +158,7 @@
     def _free(self, names: list[str]) -> Fiber[None]:
         """Take machines that are surely gone out of their groups, with all that they held."""
         draining = self.inventory.draining
-        machines = self.base.picture.machines
+        machines = self.base.cluster_state.machines
         removed: list[str] = []
         for _ in range(MAX_COMMITS):
             remaining = [name for name in names if name in machines]
@@ -173,13 +173,13 @@
                 self._note_removed(removed)
             elif committed is None or not (yield from self.base.follower.barrier()):
                 break
-            machines = self.base.picture.machines
-        machines = self.base.picture.machines
+            machines = self.base.cluster_state.machines
+        machines = self.base.cluster_state.machines
         draining.difference_update(name for name in names if name not in machines)
 
     def _drain_unmarked(self, names: list[str]) -> Fiber[None]:
         """Mark deleted machines that were adopted after they were drained: placement on them must stop first."""
-        machines = self.base.picture.machines
+        machines = self.base.cluster_state.machines
         unmarked = [name for name in names if not machines[name].record.retiring]
         if unmarked:
             self.inventory.draining.difference_update(unmarked)
@@ -196,7 +196,7 @@
         broken: dict[str, int] = {}
         removed.clear()
         for name in names:
-            machine = self.base.picture.machines.get(name)
+            machine = self.base.cluster_state.machines.get(name)
             if machine is None or not machine.record.retiring:
                 continue
             gangs = {**broken, **self._broken_gangs(machine)}
@@ -211,7 +211,7 @@
             removed.append(name)
         txn = Txn()
         for job_id, attempt in broken.items():
-            job = self.base.picture.jobs[job_id]
+            job = self.base.cluster_state.jobs[job_id]
             txn.guard(LIVE + job_id, job.version).put(LIVE + job_id, job.value(broken=attempt))
         return edits.write(txn, removed)
 
@@ -219,7 +219,7 @@
         """The gangs that lose tasks with a machine, and the attempt that ends with it."""
         broken = {}
         for hold in machine.holds:
-            job = self.base.picture.jobs.get(hold.job)
+            job = self.base.cluster_state.jobs.get(hold.job)
             if job is not None and job.spec.kind == "gang" and hold.attempt > job.record.broken:
                 broken[job.id] = hold.attempt
         return broken
--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -95,7 +95,7 @@
         if not jobs:
             self.needed = set()
             return {}
-        machines = future_machines(self.base.picture, plan.rooms, wall_us, ready_us, self.pace.run_us)
+        machines = future_machines(self.base.cluster_state, plan.rooms, wall_us, ready_us, self.pace.run_us)
         forecast = Forecast(machines)
         demand: dict[MachineKind, int] = {}
         for job in jobs:
@@ -116,8 +116,8 @@
         hedges = {kind: max(number // HEDGE_PART, MIN_HEDGE) for kind, number in pending_by_kind.items()}
         for name, pending in self.inventory.pending.items():
             kind = pending.kind
-            machine_type: MachineType | None = self.base.picture.types.get(kind.type)
-            leaves = name in self.inventory.draining or name in self.base.picture.machines
+            machine_type: MachineType | None = self.base.cluster_state.types.get(kind.type)
+            leaves = name in self.inventory.draining or name in self.base.cluster_state.machines
             if machine_type is None or leaves:
                 continue
             remaining_us = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us)
@@ -132,7 +132,7 @@
 
     def _empty_room(self, name: str, kind: MachineKind) -> Room:
         """The room of a machine that is not present yet."""
-        spec = self.base.picture.types[kind.type]
+        spec = self.base.cluster_state.types[kind.type]
         machine = Machine(name, name, kind.type, kind.zone, {"address": "", "spot": kind.spot})
         return Room(machine, spec, spec.cpus, spec.gpus, spec.memory_gb)
 
@@ -192,7 +192,7 @@
     def _candidates(self, spec: JobSpec) -> list[Candidate]:
         """The kinds of machine that a job may use, the cheapest for each of its tasks first."""
         found = []
-        for machine_type in self.base.picture.types.values():
+        for machine_type in self.base.cluster_state.types.values():
             fits = machine_type.fits(spec.cpus, spec.gpus, spec.memory_gb)
             if not fits or (spec.types and machine_type.name not in spec.types):
                 continue
--- a/ashtray/fleet/fleet_lease.py
+++ b/ashtray/fleet/fleet_lease.py
@@ -16,7 +16,7 @@
 from ashtray.store.client import Txn, Urgency
 
 MAX_READ_AGE_US = 3 * SECOND_US
-"""The key is taken only on a picture that was read so recently."""
+"""The key is taken only on a cluster state that was read so recently."""
 SECOND_SUCCESSOR_US = 2 * SECOND_US
 """How long the other controllers leave a free key to the first successor."""
 
@@ -45,7 +45,7 @@
 
     def holds(self) -> bool:
         """Whether the key is this process's, under a lease that is surely valid (safety points 12 and 27)."""
-        fleet = self.base.picture.fleet
+        fleet = self.base.cluster_state.fleet
         own = fleet is not None and fleet[0].get("incarnation") == self.presence.incarnation
         return own and self.presence.signed_in()
 
@@ -66,7 +66,7 @@
         fresh = now_us - self.base.follower.read_us < MAX_READ_AGE_US
         if not self.holds() and self.presence.signed_in() and fresh and self._may_take(now_us):
             yield from self._take()
-        fleet = self.base.picture.fleet
+        fleet = self.base.cluster_state.fleet
         if not self.holds() or self.running or fleet is None:
             return None
         self.running = True
@@ -77,14 +77,14 @@
 
     def _take(self) -> Fiber[None]:
         # The key is replaced under its version: of two controllers that try, one takes it.
-        txn = Txn().guard(FLEET, self.base.picture.version(FLEET))
+        txn = Txn().guard(FLEET, self.base.cluster_state.version(FLEET))
         value = {"host": self.base.settings.host_name, "incarnation": self.presence.incarnation}
         txn.put(FLEET, value, self.presence.lease)
         yield from self.base.follower.commit(lambda: txn, 1, Urgency.CANCEL, "fleet")
 
     def _may_take(self, now_us: int) -> bool:
         """Whether the key is free, or its holder suspected, and it is this controller's turn to take it."""
-        fleet = self.base.picture.fleet
+        fleet = self.base.cluster_state.fleet
         first = self.presence.foreman(FLEET) == self.base.settings.host_name
         if fleet is None:
             if self._free_since_us is None:
--- a/ashtray/fleet/forecast.py
+++ b/ashtray/fleet/forecast.py
@@ -9,8 +9,8 @@
 
 from ashtray.jobs.model import Job, JobSpec
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.machine_groups import Hold
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.machine_groups import Allocation
 from ashtray.placement.rules import Ask, Room
 
 NEVER_US = 1 << 62
@@ -74,9 +74,11 @@
         return count
 
 
-def hold_ends_us(picture: Picture, hold: Hold, wall_us: int, run_us: Callable[[Job], int]) -> int:
+def allocation_ends_us(
+    cluster_state: ClusterState, hold: Allocation, wall_us: int, run_us: Callable[[Job], int]
+) -> int:
     """When the tasks of a hold may be expected to end, as the time of day."""
-    job = picture.jobs.get(hold.job)
+    job = cluster_state.jobs.get(hold.job)
     if job is None or hold.record.stop_us >= 0:
         return wall_us + STOPPING_US
     if job.spec.kind == "service":
@@ -87,7 +89,11 @@
 
 
 def future_machines(
-    picture: Picture, rooms: Iterable[Room], wall_us: int, ready_us: dict[str, int], run_us: Callable[[Job], int]
+    cluster_state: ClusterState,
+    rooms: Iterable[Room],
+    wall_us: int,
+    ready_us: dict[str, int],
+    run_us: Callable[[Job], int],
 ) -> list[FutureMachine]:
     """The machines of a forecast; `ready_us` says when those that are pending may be expected."""
     found = []
@@ -96,7 +102,7 @@
         for hold in room.machine.holds:
             number = len(hold.tasks)
             record = hold.record
-            at_us = hold_ends_us(picture, hold, wall_us, run_us)
+            at_us = allocation_ends_us(cluster_state, hold, wall_us, run_us)
             releases.append(Release(at_us, number * record.cpus, number * record.gpus, number * record.memory_gb))
         found.append(FutureMachine(room, ready_us.get(room.machine.name, wall_us), releases))
     return found
--- a/ashtray/fleet/group_edits.py
+++ b/ashtray/fleet/group_edits.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ashtray.base import Base
-from ashtray.placement.group_edit import Edit
+from ashtray.placement.group_edit import GroupEdit
 from ashtray.placement.machine_groups import Machine
 from ashtray.store.client import Txn
 
@@ -13,8 +13,8 @@
 
     def __init__(self, base: Base) -> None:
         self.base = base
-        self.picture = base.picture
-        self._edits: dict[str, Edit] = {}
+        self.cluster_state = base.cluster_state
+        self._edits: dict[str, GroupEdit] = {}
 
     def __bool__(self) -> bool:
         return bool(self._edits)
@@ -24,13 +24,13 @@
         limits = self.base.limits
         if machine.group in self._edits:
             return len(self._edits) + other_changes <= limits.ops
-        size = self.picture.groups[machine.group].size + sum(edit.group.size for edit in self._edits.values())
+        size = self.cluster_state.groups[machine.group].size + sum(edit.group.size for edit in self._edits.values())
         fits = len(self._edits) + 1 + other_changes <= limits.ops and size <= limits.txn_bytes
         return fits or not self._edits
 
-    def of(self, machine: Machine) -> Edit:
+    def of(self, machine: Machine) -> GroupEdit:
         """The record of a machine's group, to be changed."""
-        return self._edits.setdefault(machine.group, Edit(self.picture.groups[machine.group]))
+        return self._edits.setdefault(machine.group, GroupEdit(self.cluster_state.groups[machine.group]))
 
     def write(self, txn: Txn, names: list[str]) -> Txn | None:
         """Put the changed records into a transaction; None if nothing is changed.
@@ -39,6 +39,6 @@
         split (safety point 16).
         """
         for key, edit in self._edits.items():
-            if not edit.write(txn, self.base.limits, self.picture.is_live):
-                names[:] = [name for name in names if name not in self.picture.groups[key].machines]
+            if not edit.write(txn, self.base.limits, self.cluster_state.is_live):
+                names[:] = [name for name in names if name not in self.cluster_state.groups[key].machines]
         return txn if txn.changes() else None
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -126,7 +126,7 @@
         While a version that writes nothing down may have run the fleet, that takes until the list has caught up; the
         first runner of all need not wait.
         """
-        others = self.base.picture.machines or self.inventory.listed
+        others = self.base.cluster_state.machines or self.inventory.listed
         written = self.provisioning.intents.all or self.lease.presence.upgraded(INTENTS)
         caught_up = self.kernel.now_us - self._began_us >= self.inventory.list_lag_us()
         return bool(written or not others or caught_up)
@@ -137,11 +137,11 @@
         False if the cloud gives no answer.
         """
         intents = self.provisioning.intents
-        if not intents.load(self.base.picture.rentals):
+        if not intents.load(self.base.cluster_state.rentals):
             self.kernel.log("error", "the record of rentals cannot be read: waiting for the list instead")
             intents.all = False
             return True
-        self.provisioning.settle(self.base.picture.machines)
+        self.provisioning.settle(self.base.cluster_state.machines)
         asked = len(intents.unanswered())
         if not (yield from self.provisioning.request_unanswered()):
             return False
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -79,7 +79,7 @@
 
     def know_machines(self) -> None:
         """Count the silence of all machines with a record from now on, unless it is counted already."""
-        for name in self.base.picture.machines:
+        for name in self.base.cluster_state.machines:
             self.known_since.setdefault(name, self.kernel.now_us)
 
     def list_lag_us(self) -> int:
@@ -119,7 +119,7 @@
         if name in self.deleted:
             return
         pending = self.pending.get(name)
-        if pending is None and name not in self.base.picture.machines:
+        if pending is None and name not in self.base.cluster_state.machines:
             pending = PendingMachine(machine.kind, began_us - int(machine.age_s * SECOND_US))
             self.pending[name] = pending
         if pending is not None and machine.state == RUNNING and not pending.running:
@@ -137,7 +137,7 @@
         """Take machines that were rented for an intent into the pending ones, unless more is known of them."""
         age_us = max(self.kernel.wall_us - intent.at_us, 0)
         for name in names:
-            if name not in self.deleted and name not in self.base.picture.machines:
+            if name not in self.deleted and name not in self.base.cluster_state.machines:
                 self.pending.setdefault(name, PendingMachine(intent.kind, self.kernel.now_us - age_us))
 
     def note_deleted(self, names: Iterable[str]) -> None:
@@ -171,7 +171,7 @@
         heard = self.peers.last_heard()
         awake_us = self.kernel.awake_us
         found = {}
-        for name, machine in self.base.picture.machines.items():
+        for name, machine in self.base.cluster_state.machines.items():
             last = max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)
             told_us = self.told_heard_us.get(name)
             if informed and told_us is not None:
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -12,7 +12,7 @@
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.kernel import SECOND_US
 from ashtray.placement.machine_groups import Machine
-from ashtray.placement.machine_health import SICK
+from ashtray.placement.machine_health import SICK_BLAME
 
 SILENT_US = 4 * SECOND_US
 """A worker is silent after its lease and this reserve."""
@@ -62,7 +62,7 @@
         lost: list[str] = []
         freed: set[MachineKind] = set()
         for name, pending in list(pending_machines.items()):
-            if name in self.base.picture.machines:
+            if name in self.base.cluster_state.machines:
                 self.boot_times.record(pending.kind, pending.requested_us, now_us)
                 del pending_machines[name]
                 continue
@@ -104,7 +104,7 @@
         overdue = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us) is None
         if not overdue or pending.running or not self.backoff.waits(kind):
             return False
-        machines = self.base.picture.machines.values()
+        machines = self.base.cluster_state.machines.values()
         return kind not in (MachineKind(m.type, m.zone, m.record.spot) for m in machines)
 
     def lost_or_idle(self) -> list[str]:
@@ -112,7 +112,7 @@
         silence_us = self.inventory.silences()
         silent = self._silent(silence_us)
         lost: list[str] = []
-        for name, machine in self.base.picture.machines.items():
+        for name, machine in self.base.cluster_state.machines.items():
             if self._fails_tasks(machine) and not machine.record.retiring:
                 self.kernel.log("info", f"{name} fails its tasks")
                 lost.append(name)
@@ -130,7 +130,7 @@
         """The machines whose workers are silent, beyond what a fault of this controller would explain."""
         silent = {name for name, us in silence_us.items() if us > self._lease_us + SILENT_US}
         # When most of the fleet falls silent at once, the fault is likelier on this side.
-        if len(silent) > max(FEW_MACHINES, len(self.base.picture.machines) // 2):
+        if len(silent) > max(FEW_MACHINES, len(self.base.cluster_state.machines) // 2):
             unsure_us = UNSURE_LEASES * self._lease_us
             return {name for name in silent if silence_us[name] > unsure_us or self._holds_cancelled_tasks(name)}
         return silent
@@ -141,11 +141,11 @@
         On a machine that hangs only its deletion surely ends them, and `cancel_s` may be less than the leases that
         others are waited for (safety points 1 and 5).
         """
-        picture = self.base.picture
-        return any(picture.is_over(hold.job) for hold in picture.machines[name].holds)
+        cluster_state = self.base.cluster_state
+        return any(cluster_state.is_over(hold.job) for hold in cluster_state.machines[name].holds)
 
     def _fails_tasks(self, machine: Machine) -> bool:
-        return bool(machine.record.failed) and self.base.picture.blame(machine) >= SICK
+        return bool(machine.record.failed) and self.base.cluster_state.blame(machine) >= SICK_BLAME
 
     def _loss(self, name: str, silence_us: int, silent: bool) -> Loss | None:
         """Why a machine is given up, or None."""
@@ -173,7 +173,7 @@
         One that is the cheapest for a class with an aim on waiting is kept longer, for no machine that is rented
         when such a job comes is up in time.
         """
-        machine_type = self.base.picture.types.get(machine.type)
+        machine_type = self.base.cluster_state.types.get(machine.type)
         boot_us = machine_type.boot_us if machine_type is not None else UNKNOWN_BOOT_US
         times = self.base.knobs.idle_boots
         cheapest = self.forecaster.cheapest_for_urgent.values()
--- a/ashtray/fleet/provisioning.py
+++ b/ashtray/fleet/provisioning.py
@@ -80,7 +80,7 @@
 
     def _forecast_due(self) -> bool:
         """Whether to make the next forecast: each goes through the whole fleet and queue, so not in each round."""
-        pause_us = FORECAST_US * len(self.base.picture.machines) * (1 if self._had_demand else 2)
+        pause_us = FORECAST_US * len(self.base.cluster_state.machines) * (1 if self._had_demand else 2)
         return self.kernel.now_us - self._forecast_us >= pause_us
 
     def _rent(self, demand: dict[MachineKind, int]) -> Fiber[None]:
@@ -102,11 +102,11 @@
             return None
         batch[:] = [self._intent(kind, number) for kind, number in demand.items()]
         inventory = self.inventory
-        self.settle(self.base.picture.machines.keys() | inventory.listed.keys() | inventory.deleted.keys())
+        self.settle(self.base.cluster_state.machines.keys() | inventory.listed.keys() | inventory.deleted.keys())
         self.intents.all = self.intents.all or self.lease.presence.upgraded(INTENTS)
         max_bytes = self.base.limits.value_bytes * VALUE_SHARE * RECORD_SHARE
         value = self.intents.value(self.base.settings.host_name, max_bytes, batch)
-        txn = Txn().guard(RENTALS, self.base.picture.version(RENTALS)).put(RENTALS, value)
+        txn = Txn().guard(RENTALS, self.base.cluster_state.version(RENTALS)).put(RENTALS, value)
         return self.lease.under_term(txn)
 
     def _intent(self, kind: MachineKind, number: int) -> Intent:
--- a/ashtray/fleet/runner.py
+++ b/ashtray/fleet/runner.py
@@ -36,7 +36,7 @@
         self.presence = presence
         self.kick = Signal()
         """Fired where a round should begin at once."""
-        boot_times = BootTimes(base.picture, base.knobs.boot_patience)
+        boot_times = BootTimes(base.cluster_state, base.knobs.boot_patience)
         backoff = CapacityBackoff(base.kernel)
         self.cloud = CloudClient(base)
         self.lease = FleetLease(base, presence)
--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -43,7 +43,7 @@
             self._unwritten = None
         pause_us = REFRESH_US if self._unwritten is None else WRITE_AGAIN_US
         due = self.kernel.now_us - self._read_us >= pause_us
-        wanted = running or not self.base.picture.types
+        wanted = running or not self.base.cluster_state.types
         if not (self.base.follower.loaded and due and wanted):
             return
         reply = yield from self.cloud.request("GET", "/machine_types")
@@ -59,13 +59,13 @@
         self._unwritten = None if written else types
 
     def _is_written(self, types: Types) -> bool:
-        """Whether the picture shows that these types, and no others, are written down."""
-        return types == self.base.picture.types and self.base.picture.types_complete
+        """Whether the cluster state shows that these types, and no others, are written down."""
+        return types == self.base.cluster_state.types and self.base.cluster_state.types_complete
 
     def _write(self, types: Types) -> Fiber[bool]:
         """Write the records that differ, `TYPES` last; False: some are not written, or may not be."""
         records = self._records(types)
-        known = self.base.picture.type_records()
+        known = self.base.cluster_state.type_records()
         # An empty record of all types says that each has one of its own, and that all of these are written: until
         # then nobody may be refused because no type fits.
         own = sorted(key for key in records if key != TYPES and records[key] != known.get(key))
@@ -101,7 +101,7 @@
             room -= 0 if value is None else compact_record.size_of(value)
             if room < 0 and txn.changes():
                 break
-            txn.guard(key, self.base.picture.version(key))
+            txn.guard(key, self.base.cluster_state.version(key))
             if value is None:
                 txn.remove(key)
             else:
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -37,7 +37,7 @@
         deadline_us = self.kernel.now_us + TRY_US
         build = partial(self.transaction, job_id)
         attempts = 0
-        known = self.base.picture.is_over(job_id)
+        known = self.base.cluster_state.is_over(job_id)
         while self.kernel.now_us < deadline_us:
             state = yield from self.states.look_up(job_id)
             if not isinstance(state, JobState):
@@ -64,29 +64,32 @@
         yield from self.peers.announcer.announce(job_id)
 
     def transaction(self, job_id: str) -> Txn | None:
-        """The change that ends a job as cancelled, as far as the picture tells; None where it must not be tried."""
-        picture = self.base.picture
-        job = picture.jobs.get(job_id)
+        """The change that ends a job as cancelled, as far as the cluster state tells.
+
+        None where it must not be tried.
+        """
+        cluster_state = self.base.cluster_state
+        job = cluster_state.jobs.get(job_id)
         if job is None:
             return None
         txn = Txn()
         if job.spec.kind != "service" and job.spec.tasks <= MOST_LATER:
             # It is done for its users once its groups say so: none of them may have come to that meanwhile, and what
             # this process has just folded itself, others may take the groups' word for already (point 13).
-            if picture.all_done(job):
+            if cluster_state.all_done(job):
                 return None
-            groups = {picture.machines[name].group for name, _ in picture.held.get(job_id, ())}
+            groups = {cluster_state.machines[name].group for name, _ in cluster_state.allocations.get(job_id, ())}
             # Where there are more than a transaction may depend on, nobody takes the groups' word for it.
             for key in groups if len(groups) < self.base.limits.least_guards else ():
-                txn.guard(key, picture.groups[key].version)
-                if picture.groups[key].size > self.base.limits.value_bytes:
+                txn.guard(key, cluster_state.groups[key].version)
+                if cluster_state.groups[key].size > self.base.limits.value_bytes:
                     # Its machines may be moved without a change of its own, and be folded where they are then (16).
                     lock = split_key(key)
-                    txn.guard(lock, picture.version(lock))
+                    txn.guard(lock, cluster_state.version(lock))
             if len(txn.guards) >= self.base.limits.guards:
                 # More than a transaction may depend on: tried again, for such a group is split within seconds.
                 return None
-        return end_job(txn, job, "cancelled", len(picture.finished(job)), self.kernel.wall_us)
+        return end_job(txn, job, "cancelled", len(cluster_state.finished(job)), self.kernel.wall_us)
 
     def bury(self) -> Fiber[None]:
         """Write the final states of jobs that count as cancelled since one of their dependencies is."""
@@ -102,7 +105,7 @@
             for job in self._cancelled_dependents():
                 if txn.changes() + 2 <= base.limits.ops and self.presence.mine(job):
                     end_job(txn, job, "cancelled", 0, self.kernel.wall_us)
-                    buried.append(f"{job.id} cancelled with {base.picture.dependencies.cancelled_by[job.id]}")
+                    buried.append(f"{job.id} cancelled with {base.cluster_state.dependencies.cancelled_by[job.id]}")
             return txn if buried else None
 
         if (yield from base.follower.commit(build, 2, Urgency.FREE, "bury")):
@@ -111,5 +114,5 @@
 
     def _cancelled_dependents(self) -> list[Job]:
         """The live jobs that count as cancelled since one of their dependencies is."""
-        picture = self.base.picture
-        return [picture.jobs[job_id] for job_id in picture.dependencies.cancelled_by]
+        cluster_state = self.base.cluster_state
+        return [cluster_state.jobs[job_id] for job_id in cluster_state.dependencies.cancelled_by]
--- a/ashtray/jobs/model.py
+++ b/ashtray/jobs/model.py
@@ -75,7 +75,7 @@
 
 
 class Job:
-    """A live job in the picture."""
+    """A live job in the cluster state."""
 
     __slots__ = ("id", "record", "spec", "version", "finished", "most_bytes", "priority", "ready_us", "latest_us")
 
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -95,7 +95,7 @@
 
     def _explain(self, request_id: int, job_id: str) -> Fiber[None]:
         answer: UserAnswer = yield from self.states.look_up(job_id)
-        job = self.base.picture.jobs.get(job_id)
+        job = self.base.cluster_state.jobs.get(job_id)
         if isinstance(answer, JobState) and job is not None:
             answer = Explanation(self._explanation(job))
         self.sender.send(request_id, answer)
@@ -104,7 +104,7 @@
         base = self.base
         plan = self.planner.plan()
         owner = self.presence.owner_of(job.id, job.record.owner)
-        standing = self.planner.times.standing(job, base.picture, self.kernel.wall_us)
+        standing = self.planner.times.standing(job, base.cluster_state, self.kernel.wall_us)
         run = self.estimates.estimate(job)
         served = self.planner.floor.shares.get((job.spec.team, job.spec.job_class))
         return explain(plan, job, self.kernel.wall_us, owner, standing, run, served)
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -32,26 +32,26 @@
         self._looking: dict[str, Signal] = {}
         """Final states that are being read for somebody: whoever else asks meanwhile waits for the same reading."""
         self._resolved = -1
-        """The picture's changes when all that is needed was last seen to be known, or asked for."""
+        """The cluster state's changes when all that is needed was last seen to be known, or asked for."""
 
     def final(self, job_id: str) -> JobState | None:
         """The final state of a job, if it is known here; it never changes, so it may be said without a read."""
-        picture = self.base.picture
-        over = picture.over.get(job_id)
+        cluster_state = self.base.cluster_state
+        over = cluster_state.over.get(job_id)
         if over is not None:
             return JobState(job_id, over["status"], over["done"])
-        if job_id in picture.dependencies.cancelled_by:
+        if job_id in cluster_state.dependencies.cancelled_by:
             return JobState(job_id, "cancelled")
         return None
 
     def look_up(self, job_id: str, urgency: Urgency = Urgency.ACCEPT) -> Fiber[LookUp]:
         """A job's state as of a moment after the question came."""
-        picture = self.base.picture
-        while job_id not in picture.over:
+        cluster_state = self.base.cluster_state
+        while job_id not in cluster_state.over:
             # Safety point 6: what is not final is said only after a read that began after the question.
             if not (yield from self.base.follower.barrier(patient=True)):
                 return UNREADABLE
-            job = picture.jobs.get(job_id)
+            job = cluster_state.jobs.get(job_id)
             if job is not None:
                 known = yield from self._know_needs(job, urgency)
                 if known is False:
@@ -61,32 +61,34 @@
                     # Reading took a while, or a later change is shown: what the barrier read may not be so any more.
                     continue
                 return state
-            if job_id in picture.over:
+            if job_id in cluster_state.over:
                 break
-            if job_id in picture.absent:
+            if job_id in cluster_state.absent:
                 return NeverAccepted()
-            # It ended before this picture was read, or there is no such job: read once, and known from then on.
+            # It ended before this cluster state was read, or there is no such job: read once, and known from then on.
             failed = yield from self._find_final(job_id, urgency)
             if failed is not None:
                 return failed
-        over = picture.over[job_id]
+        over = cluster_state.over[job_id]
         return JobState(job_id, over["status"], over["done"])
 
     def _live(self, job: Job) -> JobState | None:
-        """The state of a job that is live in the picture; None if the picture does not tell yet."""
-        picture = self.base.picture
-        if job.id in picture.dependencies.cancelled_by:
+        """The state of a job that is live in the cluster state; None if the cluster state does not tell yet."""
+        cluster_state = self.base.cluster_state
+        if job.id in cluster_state.dependencies.cancelled_by:
             return JobState(job.id, "cancelled")
         if ends_later(job, self.base.limits):
-            if job.id in picture.completed():
+            if job.id in cluster_state.completed():
                 return JobState(job.id, "done", job.spec.tasks)
-            if picture.all_done(job):
+            if cluster_state.all_done(job):
                 # A change of this process is shown that is later than what the barrier read.  Another controller
                 # may have said `done` already, so only a later barrier tells (points 6 and 13).
                 return None
-        running = len(picture.placed(job.id))
+        running = len(cluster_state.placed(job.id))
         status = "running" if running else "pending"
-        return JobState(job.id, status, len(picture.finished(job)), running, tuple(picture.dependencies.open(job)))
+        return JobState(
+            job.id, status, len(cluster_state.finished(job)), running, tuple(cluster_state.dependencies.open(job))
+        )
 
     def _find_final(self, job_id: str, urgency: Urgency) -> Fiber[RetryLater | None]:
         """Read a final state, or wait for somebody else's reading of it; what to say if that fails."""
@@ -102,9 +104,11 @@
 
         True: all was known.  None: something was read.  False: it cannot be.
         """
-        picture = self.base.picture
+        cluster_state = self.base.cluster_state
         known: bool | None = True
-        while unknown := [need for need in picture.dependencies.unknown([job.id]) if need not in picture.absent]:
+        while unknown := [
+            need for need in cluster_state.dependencies.unknown([job.id]) if need not in cluster_state.absent
+        ]:
             known = None
             looking = self._looking.get(unknown[0])
             if looking is not None:
@@ -115,19 +119,19 @@
         return known
 
     def resolve(self) -> Fiber[None]:
-        """Read the final states of needed jobs that ended before the picture was read.
+        """Read the final states of needed jobs that ended before the cluster state was read.
 
         They are not loaded at a start, for they grow with history; a job is not ready before all are known.
         """
         base = self.base
-        picture = base.picture
-        if base.follower.loaded and picture.changes != self._resolved:
-            self._resolved = picture.changes
-            for need in picture.dependencies.unknown():
+        cluster_state = base.cluster_state
+        if base.follower.loaded and cluster_state.changes != self._resolved:
+            self._resolved = cluster_state.changes
+            for need in cluster_state.dependencies.unknown():
                 if len(self._looking) >= MAX_RESOLVING:
                     self._resolved = -1
                     break
-                if need not in self._looking and need not in picture.absent:
+                if need not in self._looking and need not in cluster_state.absent:
                     self.kernel.spawn(self._resolve(need))
         yield Sleep(RESOLVE_US)
 
@@ -138,19 +142,19 @@
             self._needs_known()
 
     def _read_final(self, job_id: str, urgency: Urgency) -> Fiber[int]:
-        """Read a job's final state into the picture, or that there is none; the state service's status."""
-        picture = self.base.picture
+        """Read a job's final state into the cluster state, or that there is none; the state service's status."""
+        cluster_state = self.base.cluster_state
         signal = self._looking[job_id] = Signal()
-        loads, followed = picture.loads, self.base.follower.loaded
+        loads, followed = cluster_state.loads, self.base.follower.loaded
         try:
             reply = yield from self.base.store.read(OVER + job_id, urgency)
         finally:
             del self._looking[job_id]
         if reply.status == 200:
-            picture.note_over(job_id, reply.body["value"], reply.body["stamp"])
-        elif reply.status == 404 and followed and picture.loads == loads:
+            cluster_state.note_final_state(job_id, reply.body["value"], reply.body["stamp"])
+        elif reply.status == 404 and followed and cluster_state.loads == loads:
             # Only if all changes since then have been read: an end written before the first page was read is in no
             # page, and in none of the changes that follow it (point 14).
-            picture.note_absent(job_id)
+            cluster_state.note_absent(job_id)
         self.kernel.fire(signal)
         return reply.status
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -39,7 +39,7 @@
         self.presence = presence
         self.states = states
         self.sender = sender
-        self.accepting = Accepting(base.kernel, base.store, base.limits, base.picture.knows)
+        self.accepting = Accepting(base.kernel, base.store, base.limits, base.cluster_state.knows)
         self._job_accepted = job_accepted
 
     def submit(self, request_id: int, job_id: str, spec: JobSpec) -> Fiber[None]:
@@ -66,7 +66,7 @@
 
     def _accept(self, job_id: str, spec: JobSpec, value: Any) -> Fiber[UserAnswer]:
         base = self.base
-        if base.picture.knows(job_id):
+        if base.cluster_state.knows(job_id):
             # Sent again: it would only conflict, and hold up what is written down with it.
             status, revision = 409, 0
         else:
@@ -93,7 +93,7 @@
     def _fits_a_type(self, spec: JobSpec) -> bool:
         """Whether a task fits an empty machine of some allowed type that is known, in an allowed zone."""
         zones = set(self.base.settings.cluster.zones)
-        for kind in self.base.picture.types.values():
+        for kind in self.base.cluster_state.types.values():
             allowed = not spec.types or kind.name in spec.types
             there = spec.zone is None or spec.zone in kind.zones or (not kind.zones and spec.zone in zones)
             if allowed and there and kind.fits(spec.cpus, spec.gpus, spec.memory_gb):
@@ -107,23 +107,23 @@
         if size > room:
             # It could be accepted, but never be written again.
             return Refused(400, f"the description takes {size} bytes of its record, which has room for {room}")
-        if not self.base.picture.types:
+        if not self.base.cluster_state.types:
             return RetryLater("the machine types are not known yet")
         reason = self.refusal(spec)
-        if reason == NO_TYPE_FITS and not self.base.picture.types_complete:
+        if reason == NO_TYPE_FITS and not self.base.cluster_state.types_complete:
             # It may fit a type that is not written down yet, and 422 is for good (safety point 6).
             return RetryLater("not all machine types are known yet")
         return None if reason is None else Refused(422, reason)
 
     def _judge_needs(self, spec: JobSpec) -> Fiber[Objection | None]:
         """The objection that the jobs give reason for on which it waits."""
-        picture = self.base.picture
+        cluster_state = self.base.cluster_state
         older = self.presence.older() if spec.needs else []
         if older:
             # It would drop what it does not know when it writes the job's record anew.
             return RetryLater(f"{', '.join(older)} does not know of jobs that wait on others yet")
         for need in spec.needs:
-            if need in picture.jobs or need in picture.over:
+            if need in cluster_state.jobs or need in cluster_state.over:
                 continue
             state = yield from self.states.look_up(need)
             if isinstance(state, NeverAccepted):
--- a/ashtray/peers/announcements.py
+++ b/ashtray/peers/announcements.py
@@ -1,8 +1,9 @@
 """Tells all peers of a cancellation before its user is told, so that none of them starts a task of the job any more.
 
 Peers read of a cancellation with their next look at the state service, some tenths of a second later.  Until then one
-of them may start a task on its picture of before.  A start order of it, or of this controller, may also be on its way
-to a worker: each controller makes those void that get no answer, and answers when that is done.  No rule rests on
+of them may start a task on its cluster state of before.  A start order of it, or of this controller, may also be
+on its way to a worker: each controller makes those void that get no answer, and answers when that is done.  No
+rule rests on
 this message: where a peer does not answer, the user is told all the same, and the peer reads of the cancellation.
 """
 
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -118,7 +118,7 @@
         """
         follower = self.base.follower
         read = follower.loaded and follower.revision >= self._signed_at
-        return read and self.base.settings.host_name not in self.base.picture.controllers
+        return read and self.base.settings.host_name not in self.base.cluster_state.controllers
 
     def leave(self) -> Fiber[None]:
         """Give the lease up, with all that hangs on it, so that others need not wait for its end."""
@@ -138,19 +138,19 @@
         From then on none of an older one is about, for nothing brings one back.
         """
         if self._upgraded < form:
-            seen = self.base.picture.controllers
+            seen = self.base.cluster_state.controllers
             hosts = [self.base.settings.host_name, *(peer.host_name for peer in self.base.settings.others)]
             self._upgraded = max(self._upgraded, min(seen.get(host, {}).get("form", 0) for host in hosts))
         return self._upgraded >= form
 
     def older(self) -> list[str]:
         """Live controllers of an older version: they drop what they do not know when they write a record anew."""
-        return [host for host, value in self.base.picture.controllers.items() if value.get("form", 0) < WAITS]
+        return [host for host, value in self.base.cluster_state.controllers.items() if value.get("form", 0) < WAITS]
 
     def live(self) -> list[str]:
         """Who holds a lease: what must not be done by two at once goes by this."""
-        if self._live_of is not self.base.picture.controllers:
-            self._live_of = self.base.picture.controllers
+        if self._live_of is not self.base.cluster_state.controllers:
+            self._live_of = self.base.cluster_state.controllers
             self._live = sorted({*self._live_of, self.base.settings.host_name})
         return self._live
 
@@ -338,7 +338,7 @@
     def _word(self, host: str) -> dict[str, Any]:
         base = self.base
         # Only who runs the fleet has any use for the ages of reports, of each worker that there is.
-        runner = base.picture.fleet[0].get("host") if base.picture.fleet is not None else None
+        runner = base.cluster_state.fleet[0].get("host") if base.cluster_state.fleet is not None else None
         now = base.kernel.now_us
         ages = {name: now - at_us for name, at_us in self._reports().items()} if host == runner else {}
         doubts = self.failure_detector.doubts(now, base.kernel.awake_us)
@@ -368,7 +368,7 @@
             want += used
         self._need = 0.5 * self._need + 0.5 * want
         if not base.follower.loaded:
-            # Until the picture is read, assume that everybody is there.
+            # Until the cluster state is read, assume that everybody is there.
             each = 1 / max(base.settings.cluster.nodes, 1)
             base.store.share(each, each)
             return
@@ -399,7 +399,7 @@
         """The cancellations beyond a revision that users may have been told of by this controller."""
         follower = self.base.follower
         followed_from = follower.followed_from if follower.loaded else None
-        return self.base.picture.cancellations.statement(followed_from, beyond)
+        return self.base.cluster_state.cancellations.statement(followed_from, beyond)
 
     def on_word(self, request_id: int, body: Any) -> None:
         """Answer a peer's heartbeat, and note what it says; 400 if it is malformed or its sender unknown."""
--- a/ashtray/placement/__init__.py
+++ b/ashtray/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: the picture, the ordered rules, commits and the queue."""
+"""Placement: the cluster state, the ordered rules, commits and the queue."""
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -1,6 +1,6 @@
 """The copy of the records under ``now/`` that every controller decides on; it is a little late.
 
-`Picture` applies changes, one record at a time.  `GroupIndex` and `TaskIndex` keep up to date what is asked for
+`ClusterState` applies changes, one record at a time.  `GroupIndex` and `TaskIndex` keep up to date what is asked for
 often, by what changed: the work must grow with the changes, not with the machines or the queue.
 """
 
@@ -15,7 +15,7 @@
 from ashtray.jobs.dependencies import Dependencies
 from ashtray.jobs.model import LIVE, MOST_LATER, OVER, UNLIMITED, Job
 from ashtray.placement.group_index import GroupIndex
-from ashtray.placement.machine_groups import Hold, Machine
+from ashtray.placement.machine_groups import Allocation, Machine
 from ashtray.placement.machine_health import machine_blame
 from ashtray.placement.records import MachineType
 from ashtray.placement.state_keys import (
@@ -43,7 +43,7 @@
     return 0
 
 
-class Picture:
+class ClusterState:
     """The state of the cluster as of the follower's last round, plus this controller's own commits."""
 
     def __init__(
@@ -113,12 +113,12 @@
         self.dependencies = Dependencies(self.jobs)
         self._tasks = TaskIndex(self.jobs, self.dependencies, self._is_confirmed, self._clock, self._most_later)
         self._groups = GroupIndex(self._tasks.job_changed)
-        self._tasks.follow(self._groups.held, self._groups.done)
+        self._tasks.follow(self._groups.allocations, self._groups.done)
         self.groups = self._groups.groups
         """By key."""
         self.machines = self._groups.machines
         """By name; the one that changed last is the last."""
-        self.held = self._groups.held
+        self.allocations = self._groups.allocations
         """For each job its allocations."""
         self.moved = self._groups.moved
         """For each group that is being split, up to which machine and which job's completed tasks it has been."""
@@ -136,7 +136,7 @@
     def put(self, key: str, value: Any, version: int) -> None:
         """Take in a record as of a version; one that is not newer than what is known is passed over."""
         if key.startswith(OVER):
-            self.note_over(key[len(OVER) :], value, version)
+            self.note_final_state(key[len(OVER) :], value, version)
             return
         if max(self._versions.get(key, 0), self._gone.get(key, 0)) >= version:
             return
@@ -233,7 +233,7 @@
 
     # What is known of jobs
 
-    def note_over(self, job_id: str, state: Any, version: int) -> None:
+    def note_final_state(self, job_id: str, state: Any, version: int) -> None:
         """Take in a job's final state, written by the change of revision `version`."""
         if job_id not in self.over and state["status"] == "cancelled":
             self.cancellations.note(version, job_id)
@@ -278,7 +278,7 @@
         """Return whether a job is known to be over; one that is merely not known yet is not."""
         if job_id in self.cancelled_elsewhere:
             return True
-        return job_id not in self.jobs and (job_id in self.over or job_id in self.held)
+        return job_id not in self.jobs and (job_id in self.over or job_id in self.allocations)
 
     def _is_confirmed(self, job: Job) -> bool:
         """Return whether all that is shown of a job's tasks was also read, with everything before it (point 13).
@@ -305,7 +305,7 @@
         """Return the live jobs all of whose tasks are done; small ones only once that was read with all before it."""
         return self._tasks.completed()
 
-    def unsure(self) -> bool:
+    def unconfirmed(self) -> bool:
         """Return whether the end of a small job waits for what was written before it to be read."""
         return self._tasks.unconfirmed()
 
@@ -313,7 +313,7 @@
         """Return whether all tasks of a job are done by what is shown, read or not."""
         return self._tasks.all_done(job)
 
-    def leaving(self) -> dict[str, list[tuple[str, Hold]]]:
+    def leaving(self) -> dict[str, list[tuple[str, Allocation]]]:
         """Return, by job, the allocations whose tasks are about to end, each with the name of its machine."""
         return self._tasks.leaving()
 
@@ -326,7 +326,10 @@
         return self._tasks.finished(job)
 
     def blame(self, machine: Machine) -> int:
-        """Return how much speaks for a fault of a machine: `machine_health.SICK` and more will do to return it."""
+        """Return how much speaks for a fault of a machine.
+
+        `machine_health.SICK_BLAME` and more will do to return it.
+        """
         return machine_blame(machine, self.jobs, self.over, self._tasks.finished)
 
     def take_touched(self) -> list[str]:
--- a/ashtray/placement/compact_record.py
+++ b/ashtray/placement/compact_record.py
@@ -15,18 +15,18 @@
 import msgspec
 
 from ashtray.kernel import SECOND_US
-from ashtray.placement.records import HoldRecord
+from ashtray.placement.records import AllocationRecord
 
 FORM = "form"
 """The field by which a record in compact form is recognized."""
 SPOT, RETIRING = 1, 2
 """Bits of a machine's flags."""
-PLACED_US = HoldRecord.__struct_fields__.index("placed_us")
+PLACED_US = AllocationRecord.__struct_fields__.index("placed_us")
 """Where an allocation, which is written as a list, says when it was placed."""
 JOB_PREFIX = "job-"
 """What all job ids begin with; it is left out."""
 JOB_PREFIX_CHARS = len(JOB_PREFIX)
-SPARE = 16
+SPARE_ENTRIES = 16
 """Entries of the tables that may be unused, beside a quarter of those that are used."""
 
 
@@ -59,7 +59,7 @@
         used_kinds = {hold[3] for row in rows.values() for hold in row[4]}
         used_images = {n for row in rows.values() for n in row[3]}
         used = len(used_kinds) + len(used_images)
-        return len(self.kinds) + len(self.images) > used + used // 4 + SPARE
+        return len(self.kinds) + len(self.images) > used + used // 4 + SPARE_ENTRIES
 
 
 def pack(value: dict[str, Any], before: dict[str, Any] | None = None, changed: Container[str] = ()) -> dict[str, Any]:
@@ -167,7 +167,7 @@
 
 
 def _unpack_holds(rows: list[Any], kinds: list[Any], since_s: int) -> list[list[Any]]:
-    """Return allocations as `HoldRecord` is written, from their rows."""
+    """Return allocations as `AllocationRecord` is written, from their rows."""
     holds = []
     for job, attempt, tasks, kind, age_s, *stop in rows:
         team, cpus, gpus, memory_gb, by = kinds[kind]
--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -11,7 +11,7 @@
 from ashtray.kernel import SECOND_US
 from ashtray.placement.plan import Plan, back_off_us
 from ashtray.placement.queue_order import Standing
-from ashtray.placement.records import EPS
+from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.rules import PREFERENCES, VALIDATORS, Room
 from ashtray.teams.guarantees import leaving
 from ashtray.teams.limits import tasks_within
@@ -31,8 +31,8 @@
     `served`: the share of its class that was served, if that is below the minimum share.
     """
     spec = job.spec
-    placed = plan.picture.placed(job.id)
-    finished = plan.picture.finished(job)
+    placed = plan.cluster_state.placed(job.id)
+    finished = plan.cluster_state.finished(job)
     answer: dict[str, Any] = {
         "name_id": job.id,
         "placed_by": owner,
@@ -51,7 +51,7 @@
         }
     ask = plan.ask(job)
     rooms = {room.machine.name: room for room in plan.rooms}
-    for (name, _), hold in sorted(plan.picture.held.get(job.id, {}).items()):
+    for (name, _), hold in sorted(plan.cluster_state.allocations.get(job.id, {}).items()):
         room = rooms.get(name)
         place: dict[str, Any] = {"machine": name, "attempt": hold.attempt, "tasks": hold.record.tasks}
         if room is None:
@@ -61,7 +61,7 @@
         if hold.record.stop_us >= 0:
             place["note"] = "being stopped"
         answer["places"].append(place)
-    dependencies = plan.picture.dependencies
+    dependencies = plan.cluster_state.dependencies
     open_needs = dependencies.open(job)
     if open_needs:
         answer["waits_on"] = open_needs
@@ -111,26 +111,32 @@
 
 def _limits(plan: Plan, team: Team, spec: JobSpec) -> list[str]:
     """How much of a limit is in use, and where the rest of it lies."""
-    shares = plan.picture.shares.get(team.name, {})
+    shares = plan.cluster_state.shares.get(team.name, {})
     reasons = []
     parts = ((0, "CPUs", team.cpus_max, spec.cpus), (1, "GPUs", team.gpus_max, spec.gpus))
     for n, what, limit, need in parts:
         if limit and need:
-            free = {host: share[n] - plan.picture.team_usage(team.name, host)[n] for host, share in shares.items()}
-            promised = ", ".join(f"{left:g} with {host}" for host, left in sorted(free.items()) if left > EPS)
-            used = plan.picture.team_usage(team.name)[n]
+            free = {
+                host: share[n] - plan.cluster_state.team_usage(team.name, host)[n] for host, share in shares.items()
+            }
+            promised = ", ".join(
+                f"{left:g} with {host}" for host, left in sorted(free.items()) if left > AMOUNT_TOLERANCE
+            )
+            used = plan.cluster_state.team_usage(team.name)[n]
             reasons.append(f"limit: {used:g} of {limit:g} {what} in use" + (f", {promised}" if promised else ""))
     return reasons
 
 
 def _guarantees(plan: Plan, team: Team) -> list[str]:
     """What a team has of its guarantee, while work of others is stopped for it."""
-    claim = plan.picture.claims
-    going = {name: amounts for name, amounts in leaving(plan.picture).items() if name != team.name and name in claim}
-    used = plan.picture.team_usage(team.name)
+    claim = plan.cluster_state.claims
+    going = {
+        name: amounts for name, amounts in leaving(plan.cluster_state).items() if name != team.name and name in claim
+    }
+    used = plan.cluster_state.team_usage(team.name)
     reasons = []
     for n, what, amount in ((0, "CPUs", team.cpus), (1, "GPUs", team.gpus)):
-        if amount and used[n] + EPS < amount:
+        if amount and used[n] + AMOUNT_TOLERANCE < amount:
             gives = ((name, given[n]) for name, given in sorted(going.items()) if given[n])
             room = ", ".join(f"{given:g} come from team {name}" for name, given in gives)
             reasons.append(f"guarantee: {used[n]:g} of {amount:g} {what} in use" + (f", {room}" if room else ""))
--- a/ashtray/placement/group_edit.py
+++ b/ashtray/placement/group_edit.py
@@ -15,7 +15,7 @@
 from ashtray.store.client import Limits, Txn
 
 
-class Edit:
+class GroupEdit:
     """A group's record being changed: the machines that are asked for are copied, the others are shared."""
 
     def __init__(self, group: Group) -> None:
@@ -55,7 +55,7 @@
 
     def size_with(self, name: str, record: MachineRecord, done: dict[str, str], limits: Limits) -> int:
         """Return the bytes of the record if one more machine were changed, with `done` as the completed tasks."""
-        edit = Edit(self.group)
+        edit = GroupEdit(self.group)
         edit.machines = dict(self.machines)
         edit.done = done
         edit._changed = {**self._changed, name: record}
--- a/ashtray/placement/group_index.py
+++ b/ashtray/placement/group_index.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashtray.placement.machine_groups import Group, Hold, HoldKey, Machine
+from ashtray.placement.machine_groups import Allocation, AllocationKey, Group, Machine
 from ashtray.placement.team_usage import TeamUsage
 from ashtray.runs import decode_runs
 
@@ -21,7 +21,7 @@
         self.groups: dict[str, Group] = {}
         self.machines: dict[str, Machine] = {}
         """By name; the one that changed last is the last."""
-        self.held: dict[str, dict[HoldKey, Hold]] = {}
+        self.allocations: dict[str, dict[AllocationKey, Allocation]] = {}
         """For each job its allocations."""
         self.done: dict[str, dict[str, set[int]]] = {}
         """For each job, and the key of each group that keeps some for it, the completed tasks."""
@@ -69,7 +69,7 @@
 
     def touch_machines_of(self, job_id: str) -> None:
         """Mark the machines that a job has allocations on as touched."""
-        for name, _ in self.held.get(job_id, ()):
+        for name, _ in self.allocations.get(job_id, ()):
             self._touched.add(name)
 
     def take_touched(self) -> list[str]:
@@ -108,8 +108,8 @@
         for n, hold in enumerate(known):
             self._drop_hold((name, n), hold)
         for n, hold in enumerate(machine.holds):
-            self.held.setdefault(hold.job, {})[(name, n)] = hold
-        # Those that are the same on both sides are the same objects (`reuse_holds`).
+            self.allocations.setdefault(hold.job, {})[(name, n)] = hold
+        # Those that are the same on both sides are the same objects (`reuse_allocations`).
         for hold in known:
             if hold not in machine.holds:
                 self._note_hold(hold, -1)
@@ -125,15 +125,15 @@
             self._drop_hold((machine.name, n), hold)
             self._note_hold(hold, -1)
 
-    def _drop_hold(self, key: HoldKey, hold: Hold) -> None:
+    def _drop_hold(self, key: AllocationKey, hold: Allocation) -> None:
         """Take an allocation out of its job's, unless another one stands there by now."""
-        holds = self.held.get(hold.job)
+        holds = self.allocations.get(hold.job)
         if holds is not None and holds.get(key) is hold:
             del holds[key]
             if not holds:
-                del self.held[hold.job]
+                del self.allocations[hold.job]
 
-    def _note_hold(self, hold: Hold, sign: int) -> None:
+    def _note_hold(self, hold: Allocation, sign: int) -> None:
         """Add an allocation to its team's usage, or take it away with a `sign` of -1."""
         self.usage.add(hold.record, sign * len(hold.tasks))
         self._job_changed(hold.job)
--- a/ashtray/placement/machine_groups.py
+++ b/ashtray/placement/machine_groups.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from ashtray.placement import compact_record
-from ashtray.placement.records import HoldRecord, MachineRecord
+from ashtray.placement.records import AllocationRecord, MachineRecord
 from ashtray.runs import decode_runs
 
-HoldKey = tuple[str, int]
+AllocationKey = tuple[str, int]
 """The name of a machine, and the index of one of its allocations.
 
 Not the attempt: tasks of one attempt that are stopped one after the other are several allocations.  A key by attempt
@@ -23,24 +23,24 @@
 """
 
 
-class Hold:
+class Allocation:
     """An allocation; `tasks` is never changed in place."""
 
     __slots__ = ("record", "tasks", "job", "attempt")
 
-    def __init__(self, record: HoldRecord) -> None:
+    def __init__(self, record: AllocationRecord) -> None:
         self.record = record
         self.job = record.job
         self.attempt = record.attempt
         self.tasks = decode_runs(record.tasks)
 
 
-def reuse_holds(records: Iterable[HoldRecord], known: Iterable[Hold]) -> list[Hold]:
+def reuse_allocations(records: Iterable[AllocationRecord], known: Iterable[Allocation]) -> list[Allocation]:
     """Return an allocation for each record, in order; those that equal a record are taken over from `known`.
 
     Each of `known` is taken over at most once, so two equal records stay two allocations.
     """
-    holds: list[Hold] = []
+    holds: list[Allocation] = []
     remaining = list(known)
     for record in records:
         for hold in remaining:
@@ -49,7 +49,7 @@
                 holds.append(hold)
                 break
         else:
-            holds.append(Hold(record))
+            holds.append(Allocation(record))
     return holds
 
 
@@ -87,7 +87,9 @@
 
         A change of the record makes a new `Machine`, so this cannot grow old.
         """
-        self.holds: list[Hold] = reuse_holds(self.record.holds, before.holds if before is not None else ())
+        self.holds: list[Allocation] = reuse_allocations(
+            self.record.holds, before.holds if before is not None else ()
+        )
         self.images = {image for image, _ in self.record.images}
         self.cpus = self.gpus = self.memory_gb = 0.0
         for hold in self.holds:
--- a/ashtray/placement/machine_health.py
+++ b/ashtray/placement/machine_health.py
@@ -8,7 +8,7 @@
 from ashtray.jobs.model import Job
 from ashtray.placement.machine_groups import Machine
 
-SICK = 3
+SICK_BLAME = 3
 """The blame from which on a machine is returned: two jobs, one of which at least works elsewhere, or three jobs."""
 FULL_BLAME = 2
 """By a job that works elsewhere."""
--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -7,8 +7,9 @@
 still make a time.  They get turns for room that is free or becomes free, and for machines to be rented; they stop no
 tasks that they might not stop otherwise, and their tasks are not stopped for jobs that have missed all their times.
 
-*Came* and *served* are counted over the jobs that became ready since this process first read the picture: what was
-over before is not read at a start, and a count that began at zero for it would call every class unserved.  A job
+*Came* and *served* are counted over the jobs that became ready since this process first read the cluster state:
+what was over before is not read at a start, and a count that began at zero for it would call every class unserved.
+ A job
 counts as having come once it has waited `GRACE` times as long as one of its tasks runs, and as served while all its
 tasks have a place or are done.  Cancelled jobs and jobs that fail wherever they are tried are not counted.  After a
 start of all controllers the rule has no effect until enough jobs have come.
@@ -24,7 +25,7 @@
 from ashtray.jobs.model import Job
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 
 SHARE = 0.6
 """The part of a class's jobs that is to be served."""
@@ -40,8 +41,8 @@
 class MinimumShare:
     """What came and what was served, by team and class, since this process began to watch."""
 
-    def __init__(self, picture: Picture, pace: Pace) -> None:
-        self._picture = picture
+    def __init__(self, cluster_state: ClusterState, pace: Pace) -> None:
+        self._cluster_state = cluster_state
         self._pace = pace
         self._loads = -1
         self._since_us = 0
@@ -58,9 +59,9 @@
 
     def due(self, wall_us: int) -> dict[Class, int]:
         """For each class below the minimum share, how many jobs would restore it; the least served first."""
-        if self._loads != self._picture.loads:
-            # The picture was begun anew: what ended meanwhile was not seen.
-            self._loads, self._since_us = self._picture.loads, wall_us
+        if self._loads != self._cluster_state.loads:
+            # The cluster state was begun anew: what ended meanwhile was not seen.
+            self._loads, self._since_us = self._cluster_state.loads, wall_us
             self._live.clear()
             self._served.clear()
             self._looked_us = wall_us - LOOK_US
@@ -70,18 +71,18 @@
         return self._due
 
     def _look(self, wall_us: int) -> None:
-        picture = self._picture
-        waiting = picture.waiting()
+        cluster_state = self._cluster_state
+        waiting = cluster_state.waiting()
         for job_id, name in list(self._live.items()):
-            if job_id not in picture.jobs:
+            if job_id not in cluster_state.jobs:
                 del self._live[job_id]
-                if picture.over.get(job_id, {}).get("status") == "done":
+                if cluster_state.over.get(job_id, {}).get("status") == "done":
                     self._served[job_id] = name
                 else:
                     self._served.pop(job_id, None)
         late: Counter[Class] = Counter()
-        for job in picture.jobs.values():
-            if job.ready_us < self._since_us or job.suspect or not picture.dependencies.ready(job):
+        for job in cluster_state.jobs.values():
+            if job.ready_us < self._since_us or job.suspect or not cluster_state.dependencies.ready(job):
                 continue
             name = job.spec.team, job.spec.job_class
             self._live[job.id] = name
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -11,12 +11,12 @@
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US, Fiber, Signal, Sleep, Wait
 from ashtray.peers.presence import Presence
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.group_edit import Edit
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.group_edit import GroupEdit
 from ashtray.placement.plan import IMAGE_BYTES, Choice, Plan, Planner, demand
 from ashtray.placement.preemption import Right, Victims, choose_victims, stop_for
 from ashtray.placement.prospects import Prospects
-from ashtray.placement.records import EPS, HoldRecord
+from ashtray.placement.records import AMOUNT_TOLERANCE, AllocationRecord
 from ashtray.placement.state_keys import TEAM
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
@@ -116,7 +116,7 @@
                 yield Wait(self.kick, RETRY_US)
             self._hurry = False
             if self.base.follower.loaded and self.presence.incarnation:
-                self._seen = self.base.picture.changes
+                self._seen = self.base.cluster_state.changes
                 commits = self._commits
                 work_us = VISIT_US * (yield from self._round())
                 # In a full fleet round after round finds no room: each of them makes the next one later.
@@ -125,15 +125,15 @@
                 yield Sleep(PAUSE_US * 2**self._vain + work_us + self.base.kernel.behind_us)
 
     def changed(self) -> None:
-        """Wake the loop if the picture has changed since the last round."""
-        if self.base.picture.changes != self._seen:
+        """Wake the loop if the cluster state has changed since the last round."""
+        if self.base.cluster_state.changes != self._seen:
             self.base.kernel.fire(self.kick)
 
     def _round(self) -> Fiber[int]:
         """Serve the queue once; returns how many jobs and rooms were looked at."""
         base = self.base
-        picture = base.picture
-        if not any(self.presence.mine(picture.jobs[job_id]) for job_id in picture.waiting()):
+        cluster_state = base.cluster_state
+        if not any(self.presence.mine(cluster_state.jobs[job_id]) for job_id in cluster_state.waiting()):
             return 0
         yield from self._fence()
         self.counts["rounds"] += 1
@@ -145,7 +145,7 @@
         self._queue = list(jobs)
         while jobs and not self.presence.mine(jobs[-1]):
             jobs.pop()
-        self._partial_us = {j: at for j, at in self._partial_us.items() if j in picture.jobs}
+        self._partial_us = {j: at for j, at in self._partial_us.items() if j in cluster_state.jobs}
         try:
             yield from self._serve(plan, jobs, inside)
         finally:
@@ -159,20 +159,22 @@
         When all controllers start together, one's fence serves all of them: who sees it in time writes none.
         """
         base = self.base
-        jobs = base.picture.jobs
-        waits = {jobs[job_id].spec.team for job_id in base.picture.waiting() if self.presence.mine(jobs[job_id])}
+        jobs = base.cluster_state.jobs
+        waits = {
+            jobs[job_id].spec.team for job_id in base.cluster_state.waiting() if self.presence.mine(jobs[job_id])
+        }
         teams = sorted(team for team in waits if self.grants.limited(team) and not self.grants.ready(team))
         if teams:
             yield Sleep(int(base.kernel.rng.random() * FENCE_US * len(self.presence.live())))
             build = partial(self.grants.fence, teams)
             yield from base.follower.commit(build, len(teams), Urgency.ACCEPT, "share")
-            # What was placed before the fence, by this process or one before it, is in the picture then.
+            # What was placed before the fence, by this process or one before it, is in the cluster state then.
             yield from base.follower.barrier()
 
     def _serve(self, plan: Plan, jobs: list[Job], inside: set[str]) -> Fiber[None]:
         base = self.base
         began_us = base.kernel.now_us
-        batch = Batch(base.picture, base.limits)
+        batch = Batch(base.cluster_state, base.limits)
         freed = {id(room) for room in plan.freed}
         ripe: dict[str, int] = {}
         theirs: dict[tuple[str, str], Share] = {}
@@ -256,12 +258,12 @@
                 choices = self._granted(plan, job, choices, batch, turn)
                 if not choices:
                     continue
-            for item in portions(job, tasks, choices, base.picture, base.limits):
+            for item in portions(job, tasks, choices, base.cluster_state, base.limits):
                 if not batch.takes(item):
                     if not (yield from self._commit(batch)):
-                        # The picture was too late: start anew on the fresh one.
+                        # The cluster state was too late: start anew on the fresh one.
                         return self._again()
-                    batch = Batch(base.picture, base.limits)
+                    batch = Batch(base.cluster_state, base.limits)
                 batch.add(item)
                 plan.due |= item.groups()
         if batch.items and not (yield from self._commit(batch)):
@@ -363,7 +365,7 @@
         had taken back what was in nobody's share, too early for either to place a task with it, without end.
         """
         own, before = self.grants.own_share(team), self._own_shares.get(team, (0.0, 0.0))
-        lowered = any(own[n] < before[n] - EPS for n in (0, 1))
+        lowered = any(own[n] < before[n] - AMOUNT_TOLERANCE for n in (0, 1))
         self._own_shares[team] = own
         if not lowered or any(short.job.priority <= URGENT or short.job.spec.kind == "gang" for short in jobs):
             return False
@@ -385,7 +387,7 @@
 
         A gang that does not fit into what is left of the limit must not keep the jobs behind it from asking.
         """
-        prospects = Prospects(self.base.picture, self.base.teams)
+        prospects = Prospects(self.base.cluster_state, self.base.teams)
         wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.any)
         for short in jobs:
             job = short.job
@@ -416,7 +418,7 @@
             if plan.no_victims.get((alike, image), count + 1) <= count:
                 return {}
         self.counts["looks for work to stop"] += 1
-        right = Right(self.base.picture, inside, job, plan.excess(), spared)
+        right = Right(self.base.cluster_state, inside, job, plan.excess(), spared)
         victims = choose_victims(plan, job, count, right, self.base.kernel.wall_us, within_s)
         if not victims:
             plan.no_victims[(alike, None if within_s is None else spec.image)] = count
@@ -426,7 +428,7 @@
         base = self.base
         build = partial(
             stop_for,
-            base.picture,
+            base.cluster_state,
             base.teams,
             inside,
             job,
@@ -482,13 +484,13 @@
     def _draft(self, batch: Batch, lines: list[str], full: set[str]) -> Txn | str | None:
         """The transaction without some groups; the name of another one that would be too large."""
         base = self.base
-        picture = base.picture
+        cluster_state = base.cluster_state
         txn = Txn()
         lines.clear()
         fold = self.desk.light(batch.groups - full)
-        draft = Draft(picture, self.grants, fold, base.limits)
+        draft = Draft(cluster_state, self.grants, fold, base.limits)
         for item in batch.items:
-            job = picture.jobs.get(item.job_id)
+            job = cluster_state.jobs.get(item.job_id)
             if job is None or full & item.groups() or not draft.allows(job, item):
                 continue
             # The limits may have fallen since this was planned.
@@ -504,12 +506,12 @@
         if not lines:
             return None
         for name in draft.usage:
-            txn.guard(TEAM + name, picture.version(TEAM + name))
+            txn.guard(TEAM + name, cluster_state.version(TEAM + name))
         for key, edit in draft.edits.items():
-            if not edit.write(txn, base.limits, picture.is_live):
+            if not edit.write(txn, base.limits, cluster_state.is_live):
                 return key
         self._sent = txn, list(draft.usage)
-        self._folds = {name for name in fold.taken if picture.machines[name].group in draft.edits}
+        self._folds = {name for name in fold.taken if cluster_state.machines[name].group in draft.edits}
         return txn
 
 
@@ -532,17 +534,19 @@
         return {room.machine.group for room, _ in self.choices}
 
 
-def portions(job: Job, tasks: list[int], choices: list[Choice], picture: Picture, limits: Limits) -> list[Item]:
+def portions(
+    job: Job, tasks: list[int], choices: list[Choice], cluster_state: ClusterState, limits: Limits
+) -> list[Item]:
     """Cut a job's placement into as many transactions as it needs: mostly one."""
     cut: list[list[Choice]] = [[]]
     groups: set[str] = set()
     size = 0
     for room, n in choices:
         group = room.machine.group
-        more = HOLD_BYTES + (0 if group in groups else picture.groups[group].size)
+        more = HOLD_BYTES + (0 if group in groups else cluster_state.groups[group].size)
         if cut[-1] and (len(groups | {group}) > limits.ops - 1 or size + more > limits.txn_bytes):
             cut.append([])
-            groups, size, more = set(), 0, HOLD_BYTES + picture.groups[group].size
+            groups, size, more = set(), 0, HOLD_BYTES + cluster_state.groups[group].size
         groups.add(group)
         size += more
         cut[-1].append((room, n))
@@ -559,8 +563,8 @@
 class Batch:
     """Jobs that follow one another in the queue and share a transaction, for each group in it costs one change."""
 
-    def __init__(self, picture: Picture, limits: Limits) -> None:
-        self.picture = picture
+    def __init__(self, cluster_state: ClusterState, limits: Limits) -> None:
+        self.cluster_state = cluster_state
         self.limits = limits
         self.items: list[Item] = []
         self.used: dict[str, tuple[float, float]] = {}
@@ -576,8 +580,8 @@
         return len(self.items) + len(self.groups)
 
     def _size(self, item: Item) -> int:
-        job = self.picture.jobs[item.job_id]
-        groups = self.picture.groups
+        job = self.cluster_state.jobs[item.job_id]
+        groups = self.cluster_state.groups
         size = JOB_BYTES + len(job.record.finished) + HOLD_BYTES * len(item.choices)
         return size + sum(groups[key].size for key in item.groups() - self.groups if key in groups)
 
@@ -585,7 +589,7 @@
         """Whether there is room for one more; the first is always taken."""
         if not self.items:
             return True
-        job = self.picture.jobs.get(item.job_id)
+        job = self.cluster_state.jobs.get(item.job_id)
         if job is None or item.job_id in self._jobs:
             return False
         changes = len(self.items) + 1 + len(self.groups | item.groups())
@@ -593,7 +597,7 @@
 
     def add(self, item: Item) -> None:
         """Take an item into the batch, unless its job is gone."""
-        job = self.picture.jobs.get(item.job_id)
+        job = self.cluster_state.jobs.get(item.job_id)
         if job is None:
             return
         self._bytes += self._size(item)
@@ -608,42 +612,46 @@
 class Draft:
     """The records that a batch would write, so far."""
 
-    def __init__(self, picture: Picture, grants: Grants, fold: Fold, limits: Limits) -> None:
+    def __init__(self, cluster_state: ClusterState, grants: Grants, fold: Fold, limits: Limits) -> None:
         self.image_bytes = limits.value_bytes * IMAGES_SHARE
-        self.picture = picture
+        self.cluster_state = cluster_state
         self.grants = grants
         self.fold = fold
-        self.edits: dict[str, Edit] = {}
+        self.edits: dict[str, GroupEdit] = {}
         self.usage: dict[str, tuple[float, float]] = {}
         """For each team with a limit what the batch adds to its use."""
         self._added = {name: (-cpus, -gpus, -memory) for name, (cpus, gpus, memory) in fold.freed.items()}
 
     def allows(self, job: Job, item: Item) -> bool:
-        """Whether a job's tasks may go where they were planned, as far as the picture shows now."""
-        spec, picture = job.spec, self.picture
+        """Whether a job's tasks may go where they were planned, as far as the cluster state shows now."""
+        spec, cluster_state = job.spec, self.cluster_state
         tasks = set(item.tasks)
-        if not picture.dependencies.ready(job):
+        if not cluster_state.dependencies.ready(job):
             return False
-        if picture.finished(job) & tasks or picture.placed(job.id) & tasks:
+        if cluster_state.finished(job) & tasks or cluster_state.placed(job.id) & tasks:
             return False
-        if spec.kind == "gang" and (job.portion != item.portion or (job.id in picture.held and not job.portion)):
+        if spec.kind == "gang" and (
+            job.portion != item.portion or (job.id in cluster_state.allocations and not job.portion)
+        ):
             return False
         more = self.usage.get(spec.team, (0.0, 0.0))
         if self.grants.limited(spec.team) and self.grants.allowed(spec.team, spec, *more) < item.count:
             return False
         zones: dict[str, int] = {}
-        for (name, _), hold in picture.held.get(job.id, {}).items():
-            zones[picture.machines[name].zone] = zones.get(picture.machines[name].zone, 0) + len(hold.tasks)
+        for (name, _), hold in cluster_state.allocations.get(job.id, {}).items():
+            zones[cluster_state.machines[name].zone] = zones.get(cluster_state.machines[name].zone, 0) + len(
+                hold.tasks
+            )
         for room, n in item.choices:
-            machine = picture.machines.get(room.machine.name)
+            machine = cluster_state.machines.get(room.machine.name)
             if machine is None or machine.record.retiring:
                 return False
             cpus, gpus, memory = self._added.get(machine.name, (0.0, 0.0, 0.0))
             kind = room.type
             if (
-                machine.cpus + cpus + n * spec.cpus > kind.cpus + EPS
-                or machine.gpus + gpus + n * spec.gpus > kind.gpus + EPS
-                or machine.memory_gb + memory + n * spec.memory_gb > kind.memory_gb + EPS
+                machine.cpus + cpus + n * spec.cpus > kind.cpus + AMOUNT_TOLERANCE
+                or machine.gpus + gpus + n * spec.gpus > kind.gpus + AMOUNT_TOLERANCE
+                or machine.memory_gb + memory + n * spec.memory_gb > kind.memory_gb + AMOUNT_TOLERANCE
             ):
                 return False
             zones[machine.zone] = zones.get(machine.zone, 0) + n
@@ -656,14 +664,14 @@
         spec = job.spec
         left = list(item.tasks)
         for room, n in item.choices:
-            machine = self.picture.machines[room.machine.name]
+            machine = self.cluster_state.machines[room.machine.name]
             edit = self.edits.get(machine.group)
             if edit is None:
-                group = self.picture.groups[machine.group]
-                edit = self.edits[machine.group] = self.fold.edits.get(machine.group) or Edit(group)
+                group = self.cluster_state.groups[machine.group]
+                edit = self.edits[machine.group] = self.fold.edits.get(machine.group) or GroupEdit(group)
             record = edit.machine(machine.name)
             record.holds.append(
-                HoldRecord(
+                AllocationRecord(
                     job.id,
                     number,
                     encode_runs(left[:n]),
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -13,11 +13,11 @@
 from ashtray.config.settings import Team
 from ashtray.jobs.model import PRIORITIES, Job, JobSpec
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.minimum_share import MinimumShare
 from ashtray.placement.prospects import Prospects
 from ashtray.placement.queue_order import StatedTimes
-from ashtray.placement.records import EPS
+from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.rules import Ask, Room, rank
 from ashtray.store.client import Limits
 from ashtray.teams.guarantees import Excess
@@ -36,7 +36,7 @@
 
 
 def queue(
-    picture: Picture,
+    cluster_state: ClusterState,
     teams: dict[str, Team],
     times: StatedTimes | None = None,
     wall_us: int = 0,
@@ -52,12 +52,12 @@
     inside: set[str] = set()
     by_team: dict[str, list[Job]] = {team.name: [] for team in teams.values() if team.cpus or team.gpus}
     if by_team:
-        for job in picture.jobs.values():
-            if job.spec.team in by_team and picture.dependencies.ready(job):
+        for job in cluster_state.jobs.values():
+            if job.spec.team in by_team and cluster_state.dependencies.ready(job):
                 by_team[job.spec.team].append(job)
         for name, jobs in by_team.items():
             jobs.sort(key=lambda job: (job.ready_us, job.id))
-            inside |= within_guarantee(teams[name], ((job, len(picture.finished(job))) for job in jobs))
+            inside |= within_guarantee(teams[name], ((job, len(cluster_state.finished(job))) for job in jobs))
 
     def rank(job: Job) -> tuple[int, int, int, int, str]:
         # The latest start that still meets the deadline, if the estimates hold.
@@ -66,10 +66,10 @@
         priority = len(PRIORITIES) if job.suspect else job.priority
         return priority, job.id not in inside, due, job.ready_us, job.id
 
-    jobs = sorted((picture.jobs[job_id] for job_id in picture.waiting()), key=rank)
+    jobs = sorted((cluster_state.jobs[job_id] for job_id in cluster_state.waiting()), key=rank)
     if times is None:
         return jobs, inside
-    jobs, too_late = times.arrange(jobs, inside, picture, wall_us)
+    jobs, too_late = times.arrange(jobs, inside, cluster_state, wall_us)
     return jobs if floor is None else floor.lift(jobs, too_late, wall_us), inside
 
 
@@ -94,7 +94,7 @@
 
 
 class Planner:
-    """Makes queues and plans on the picture as it is when asked."""
+    """Makes queues and plans on the cluster state as it is when asked."""
 
     def __init__(self, base: Base, times: StatedTimes, floor: MinimumShare) -> None:
         self._base = base
@@ -102,41 +102,46 @@
         self.floor = floor
 
     def plan(self) -> Plan:
-        """A plan of the picture as it is now."""
+        """A plan of the cluster state as it is now."""
         base = self._base
-        return Plan(base.picture, base.teams, base.knobs, base.kernel.rng, base.limits)
+        return Plan(base.cluster_state, base.teams, base.knobs, base.kernel.rng, base.limits)
 
     def queue(self) -> tuple[list[Job], set[str]]:
         """The jobs that wait, in their order, and those within their team's guarantee."""
-        return queue(self._base.picture, self._base.teams, self.times, self._base.kernel.wall_us, self.floor)
+        return queue(self._base.cluster_state, self._base.teams, self.times, self._base.kernel.wall_us, self.floor)
 
 
 class Plan:
     """Room and limits that are left while jobs are given places, in the queue's order."""
 
     def __init__(
-        self, picture: Picture, teams: dict[str, Team], knobs: OperatorSettings, rng: random.Random, limits: Limits
+        self,
+        cluster_state: ClusterState,
+        teams: dict[str, Team],
+        knobs: OperatorSettings,
+        rng: random.Random,
+        limits: Limits,
     ) -> None:
-        self.picture = picture
+        self.cluster_state = cluster_state
         self.teams = teams
         self.knobs = knobs
         self.rng = rng
         self.rooms: list[Room] = []
-        kinds = picture.types
+        kinds = cluster_state.types
         self.lean = limits.lean
         self.left = {
             key: -1.0 if group.moving else FULL_SHARE * limits.value_bytes - group.size
-            for key, group in picture.groups.items()
+            for key, group in cluster_state.groups.items()
         }
         """Bytes that may still be written into each group's record, with a reserve for what must be."""
         # Nothing more is put into a record that is nearly as large as a value may be.
         full = {key for key, left in self.left.items() if left < HOLD_BYTES}
-        for machine in picture.machines.values():
+        for machine in cluster_state.machines.values():
             kind = kinds.get(machine.type)
             record = machine.record
             if kind is None or record.retiring:
                 continue
-            blame = picture.blame(machine) if record.failed else 0
+            blame = cluster_state.blame(machine) if record.failed else 0
             if machine.group in full:
                 self.rooms.append(Room(machine, kind, -1.0, -1.0, -1.0, blame))
                 continue
@@ -157,9 +162,9 @@
         self._ranked: dict[Demand, list[Room]] = {}
         """For single tasks of about one size, the machines that are left, the best last."""
         self.ordinary = [room for room in self.rooms if not room.machine.record.spot]
-        self.usage = {name: picture.team_usage(name) for name in teams}
+        self.usage = {name: cluster_state.team_usage(name) for name in teams}
         self.scarcity = self._scarcity()
-        waits = (picture.jobs[job_id] for job_id in picture.waiting())
+        waits = (cluster_state.jobs[job_id] for job_id in cluster_state.waiting())
         self.gpus_wait = min((job.priority for job in waits if job.spec.gpus > 0), default=len(PRIORITIES))
         """The most urgent priority of which tasks wait for GPUs."""
         self._most: dict[Demand, int] = {}
@@ -169,15 +174,15 @@
         self._no_soon: dict[Demand, int] = {}
         """For demands, how many tasks did not even find room that is being made."""
         self._excess: Excess | None = None
-        self.prospects = Prospects(picture, teams)
+        self.prospects = Prospects(cluster_state, teams)
         self.visits = 0
         """Rooms looked at closely: what the work of a plan grows with."""
 
     def add_freed(self, freed: dict[str, tuple[float, float, float]]) -> None:
         """Count what reports have freed, in CPUs, GPUs and GB by machine, though no commit has yet."""
         for name, (cpus, gpus, memory) in freed.items():
-            machine = self.picture.machines[name]
-            kind = self.picture.types.get(machine.type)
+            machine = self.cluster_state.machines[name]
+            kind = self.cluster_state.types.get(machine.type)
             if kind is not None and not machine.record.retiring:
                 self.freed.append(Room(machine, kind, cpus, gpus, memory))
 
@@ -205,10 +210,10 @@
         """
         if job.record.errors and wall_us - job.record.error_us < back_off_us(job):
             return []
-        left = self.picture.waiting().get(job.id, [])
+        left = self.cluster_state.waiting().get(job.id, [])
         if job.suspect and job.spec.kind != "gang":
             # One task shows whether it works by now.
-            left = [] if self.picture.placed(job.id) else left[:1]
+            left = [] if self.cluster_state.placed(job.id) else left[:1]
         team = self.teams.get(job.spec.team)
         if team is not None and job.spec.kind != "gang" and not shared:
             left = left[: tasks_within(team, *self.usage[team.name], job.spec)]
@@ -223,12 +228,12 @@
         ask = Ask(spec, scarcity=self.scarcity, spare_gpus=self._spares_gpus(job), priority=job.priority)
         ask.hold_bytes = self._base_bytes(job)
         ask.failed_on = frozenset(job.record.failed_on)
-        holds = self.picture.held.get(job.id, {})
+        holds = self.cluster_state.allocations.get(job.id, {})
         if spec.spread:
             ask.spread_most = (spec.tasks + 1) // 2
             ask.zone_room = {}
         for (name, _), hold in holds.items():
-            zone = self.picture.machines[name].zone
+            zone = self.cluster_state.machines[name].zone
             if spec.same_zone:
                 ask.zone = zone
             if ask.zone_room is not None:
@@ -333,13 +338,13 @@
     def excess(self) -> Excess:
         """What each team runs beyond its guarantee, worked out once in a plan."""
         if self._excess is None:
-            self._excess = Excess(self.picture, self.teams)
+            self._excess = Excess(self.cluster_state, self.teams)
         return self._excess
 
     def _stopping(self) -> dict[str, tuple[float, float, float]]:
         """The room of tasks that are about to leave, by machine."""
         found: dict[str, tuple[float, float, float]] = {}
-        for holds in self.picture.leaving().values():
+        for holds in self.cluster_state.leaving().values():
             for name, hold in holds:
                 n = len(hold.tasks)
                 c, g, m = found.get(name, (0.0, 0.0, 0.0))
@@ -357,7 +362,11 @@
         spec = ask.spec
         zone_room = dict(ask.zone_room) if ask.zone_room is not None else None
         trial = replace(ask, zone_room=zone_room)
-        cpus, gpus, memory = spec.cpus - EPS, spec.gpus - EPS, spec.memory_gb - EPS
+        cpus, gpus, memory = (
+            spec.cpus - AMOUNT_TOLERANCE,
+            spec.gpus - AMOUNT_TOLERANCE,
+            spec.memory_gb - AMOUNT_TOLERANCE,
+        )
         alike = self._alike(ask, count) if among is None else None
         ranked = self._ranked.get(alike) if alike is not None else None
         if ranked is None:
@@ -386,7 +395,7 @@
             n = min(count, room.fits(spec), trial.zone_allows(zone))
             if ask.spare_gpus and room.type.gpus > 0:
                 spare = room.cpus - room.gpus * room.type.cpus / room.type.gpus
-                n = min(n, int((spare + EPS) // spec.cpus)) if spec.cpus > 0 else n
+                n = min(n, int((spare + AMOUNT_TOLERANCE) // spec.cpus)) if spec.cpus > 0 else n
             if n <= 0 or trial.zone not in (None, zone):
                 continue
             group = room.machine.group
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -10,9 +10,9 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.group_edit import Edit
-from ashtray.placement.machine_groups import Hold
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.group_edit import GroupEdit
+from ashtray.placement.machine_groups import Allocation
 from ashtray.placement.plan import Plan
 from ashtray.placement.rules import VALIDATORS, Ask, Room
 from ashtray.runs import encode_runs
@@ -33,21 +33,21 @@
 
     def __init__(
         self,
-        picture: Picture,
+        cluster_state: ClusterState,
         inside: set[str],
         job: Job,
         excess: Excess,
         spared: frozenset[tuple[str, str]] = frozenset(),
     ) -> None:
         """`spared`: teams and classes whose tasks are not stopped for it (`floor.py`)."""
-        self._picture = picture
+        self._cluster_state = cluster_state
         self._inside = inside
         self._job = job
         self._excess = excess
         self._spared = spared
         self._allowed: dict[str, bool] = {}
 
-    def allowed(self, hold: Hold) -> bool:
+    def allowed(self, hold: Allocation) -> bool:
         """Whether a hold's tasks may be stopped at all: the same for all tasks of a job."""
         return self._job_allowed(hold.job) and hold.record.stop_us < 0
 
@@ -58,12 +58,12 @@
         return found
 
     def machines(self) -> set[str]:
-        """The machines with tasks of jobs that may be stopped, as the picture has them."""
-        held = self._picture.held
+        """The machines with tasks of jobs that may be stopped, as the cluster state has them."""
+        held = self._cluster_state.allocations
         return {name for job_id in held if self._job_allowed(job_id) for name, _ in held[job_id]}
 
     def _may_stop(self, job_id: str) -> bool:
-        job, victim = self._job, self._picture.jobs.get(job_id)
+        job, victim = self._job, self._cluster_state.jobs.get(job_id)
         if victim is None or victim.spec.kind == "gang" or victim.id == job.id:
             return False
         if (victim.spec.team, victim.spec.job_class) in self._spared:
@@ -74,16 +74,16 @@
             return False
         return self._excess.any(victim.spec.team)
 
-    def claimed(self, tasks: Iterable[tuple[Hold, int]]) -> dict[str, Amounts]:
+    def claimed(self, tasks: Iterable[tuple[Allocation, int]]) -> dict[str, Amounts]:
         """By team, what stopping so many tasks of these holds takes of its excess: not what lower priority gives."""
         taken: dict[str, Amounts] = {}
         for hold, number in tasks:
-            victim = self._picture.jobs.get(hold.job)
+            victim = self._cluster_state.jobs.get(hold.job)
             if victim is not None and victim.priority <= self._job.priority:
                 taken[victim.spec.team] = plus(taken.get(victim.spec.team, (0.0, 0.0)), amounts(hold, number))
         return taken
 
-    def covers(self, tasks: Iterable[tuple[Hold, int]]) -> bool:
+    def covers(self, tasks: Iterable[tuple[Allocation, int]]) -> bool:
         """Whether the tasks may be stopped together within the excess of their teams."""
         return self._excess.allows(self.claimed(tasks))
 
@@ -95,7 +95,7 @@
     cost: float
     """The work that is lost, in CPU microseconds."""
     room: Room
-    stopped: list[tuple[Hold, int]]
+    stopped: list[tuple[Allocation, int]]
     """The tasks, each with its hold."""
 
 
@@ -142,7 +142,7 @@
         free = Room(room.machine, room.type, room.cpus, room.gpus, room.memory_gb)
         taken = 0
         lost = 0.0
-        stopped: list[tuple[Hold, int]] = []
+        stopped: list[tuple[Allocation, int]] = []
         while taken < count:
             if free.fits(spec) > 0:
                 free.take(spec, 1)
@@ -168,7 +168,7 @@
     only some of the tasks may go is stopped for nothing.
     """
     chosen: list[Offer] = []
-    claimed: list[tuple[Hold, int]] = []
+    claimed: list[tuple[Allocation, int]] = []
     left_out: set[str] = set()
     in_zone: Counter[str] = Counter()
     for offer in offers:
@@ -187,7 +187,7 @@
 
 
 def stop_for(
-    picture: Picture,
+    cluster_state: ClusterState,
     teams: dict[str, Team],
     inside: set[str],
     job: Job,
@@ -200,11 +200,11 @@
 
     None where the excess does not allow it any more: others have stopped some of it, or it has ended by itself.
     """
-    excess = Excess(picture, teams)
-    right = Right(picture, inside, job, excess)
+    excess = Excess(cluster_state, teams)
+    right = Right(cluster_state, inside, job, excess)
     stopped = []
     for name, tasks in victims.items():
-        machine = picture.machines.get(name)
+        machine = cluster_state.machines.get(name)
         for hold in machine.holds if machine is not None else ():
             number = len(hold.tasks & tasks.get((hold.job, hold.attempt), set()))
             if number and hold.record.stop_us < 0:
@@ -213,41 +213,41 @@
     if not excess.allows(taken):
         return None
     # The claims take changes of their own.  Where not all fits into one transaction, the rest is for the next one.
-    txn = stop_victims(picture, victims, replace(limits, ops=limits.ops - len(taken)))
+    txn = stop_victims(cluster_state, victims, replace(limits, ops=limits.ops - len(taken)))
     if txn is not None:
-        claim(txn, picture, taken, by, job.id, wall_us)
+        claim(txn, cluster_state, taken, by, job.id, wall_us)
     return txn
 
 
-def orderly(job: Job, hold: Hold) -> bool:
+def orderly(job: Job, hold: Allocation) -> bool:
     """Whether a hold is part of a gang that could save if all of it were told to stop."""
     spec = job.spec
     going = hold.record.stop_us < 0 and hold.attempt > job.record.broken and not job.portion
     return spec.kind == "gang" and spec.checkpoint_us > 0 and going
 
 
-def stop_victims(picture: Picture, victims: Victims, limits: Limits, whole: bool = False) -> Txn | None:
+def stop_victims(cluster_state: ClusterState, victims: Victims, limits: Limits, whole: bool = False) -> Txn | None:
     """The transaction that marks the victims to be stopped; all of them or none, if so asked."""
-    edits: dict[str, Edit] = {}
+    edits: dict[str, GroupEdit] = {}
     txn = Txn()
     size = 0
     for name, tasks in victims.items():
-        machine = picture.machines.get(name)
+        machine = cluster_state.machines.get(name)
         if machine is None:
             return None
-        group = picture.groups[machine.group]
+        group = cluster_state.groups[machine.group]
         if group.key not in edits:
             size += group.size
             if edits and (len(edits) >= limits.ops or size > limits.txn_bytes):
                 if whole:
                     return None
                 break
-            edits[group.key] = Edit(group)
+            edits[group.key] = GroupEdit(group)
         record = edits[group.key].machine(name)
         kept = []
         for hold, known in zip(record.holds, machine.holds, strict=True):
             stop = known.tasks & tasks.get((hold.job, hold.attempt), set())
-            job = picture.jobs.get(hold.job)
+            job = cluster_state.jobs.get(hold.job)
             if not stop or hold.stop_us >= 0 or job is None:
                 kept.append(hold)
                 continue
@@ -257,6 +257,6 @@
             kept.append(msgspec.structs.replace(hold, tasks=encode_runs(stop), stop_us=grace_us))
         record.holds = kept
     for edit in edits.values():
-        if not edit.write(txn, limits, picture.is_live) and whole:
+        if not edit.write(txn, limits, cluster_state.is_live) and whole:
             return None
     return txn if txn.changes() else None
--- a/ashtray/placement/prospects.py
+++ b/ashtray/placement/prospects.py
@@ -3,7 +3,7 @@
 Services run until they are cancelled, so what does not fit beside them waits for a machine that nobody may ever rent,
 or for a cancellation that may never come.  Such a job neither keeps nor asks for a share of its team's limit: the
 share would stand idle, while jobs with other controllers have room and wait for it.  It gets its share as soon as the
-picture shows a machine for it.
+cluster state shows a machine for it.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job, JobSpec
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Machine
-from ashtray.placement.records import EPS
+from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.teams.limits import tasks_within
 
 
@@ -44,15 +44,15 @@
             (self.memory_gb, spec.memory_gb),
         ):
             if need > 0:
-                count = min(count, int((have + EPS) // need))
+                count = min(count, int((have + AMOUNT_TOLERANCE) // need))
         return max(count, 0)
 
 
 class Prospects:
-    """Judges jobs by the picture as it is at the first question."""
+    """Judges jobs by the cluster state as it is at the first question."""
 
-    def __init__(self, picture: Picture, teams: dict[str, Team]) -> None:
-        self._picture = picture
+    def __init__(self, cluster_state: ClusterState, teams: dict[str, Team]) -> None:
+        self._cluster_state = cluster_state
         self._teams = teams
         self._spaces: Counter[Space] | None = None
         self._services: dict[str, tuple[float, float]] = {}
@@ -69,7 +69,7 @@
     def _judge(self, job: Job) -> bool:
         if self._spaces is None:
             self._spaces = self._look()
-        count = len(self._picture.waiting().get(job.id, ())) if job.spec.kind == "gang" else 1
+        count = len(self._cluster_state.waiting().get(job.id, ())) if job.spec.kind == "gang" else 1
         return self._within_limit(job.spec, count) and self._room(job) >= count
 
     def _within_limit(self, spec: JobSpec, count: int) -> bool:
@@ -85,8 +85,8 @@
             if space.allowed(spec):
                 by_zone[space.zone] += machines * space.places(spec)
         held: Counter[str] = Counter()
-        for (name, _), hold in self._picture.held.get(job.id, {}).items():
-            held[self._picture.machines[name].zone] += len(hold.tasks)
+        for (name, _), hold in self._cluster_state.allocations.get(job.id, {}).items():
+            held[self._cluster_state.machines[name].zone] += len(hold.tasks)
         if spec.same_zone:
             return max((by_zone[zone] for zone in held or by_zone), default=0)
         if spec.spread:
@@ -97,17 +97,17 @@
     def _look(self) -> Counter[Space]:
         """The machines by what the services leave of each."""
         taken: dict[str, list[float]] = {}
-        picture = self._picture
-        for job_id, holds in picture.held.items():
-            job = picture.jobs.get(job_id)
+        cluster_state = self._cluster_state
+        for job_id, holds in cluster_state.allocations.items():
+            job = cluster_state.jobs.get(job_id)
             if job is None or job.spec.kind != "service":
                 continue
             for (name, _), hold in holds.items():
                 self._take(taken.setdefault(name, [0.0, 0.0, 0.0]), job.spec, len(hold.tasks))
         return Counter(
             self._space(machine, taken.get(machine.name, [0.0, 0.0, 0.0]))
-            for machine in picture.machines.values()
-            if machine.type in picture.types and not machine.record.retiring
+            for machine in cluster_state.machines.values()
+            if machine.type in cluster_state.types and not machine.record.retiring
         )
 
     def _take(self, taken: list[float], spec: JobSpec, tasks: int) -> None:
@@ -117,7 +117,7 @@
         self._services[spec.team] = cpus + tasks * spec.cpus, gpus + tasks * spec.gpus
 
     def _space(self, machine: Machine, taken: list[float]) -> Space:
-        kind = self._picture.types[machine.type]
+        kind = self._cluster_state.types[machine.type]
         cpus, gpus, memory_gb = taken
         left = kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory_gb
         return Space(machine.type, machine.zone, machine.record.spot, *left)
--- a/ashtray/placement/queue_order.py
+++ b/ashtray/placement/queue_order.py
@@ -31,7 +31,7 @@
 from ashtray.jobs.model import Job
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.records import MachineType
 
 LAUNCH_US = 2 * SECOND_US
@@ -93,7 +93,7 @@
             if found is not None and aim.job_class and aim.within_s:
                 found.setdefault(aim.job_class, set()).add(int(aim.within_s * SECOND_US))
 
-    def standing(self, job: Job, picture: Picture, wall_us: int) -> Standing:
+    def standing(self, job: Job, cluster_state: ClusterState, wall_us: int) -> Standing:
         """How a job stands if it gets its place now; a class without stated times has missed none."""
         name = job.spec.job_class
         waits = self._waits.get(name, ())
@@ -106,10 +106,10 @@
             age_us = wall_us - job.ready_us
             aged = by_room and age_us > PATIENT * self._pace.run_us(job)
             begins = by_room and not aged and age_us > BEGIN_SHARE * BEGIN_US
-            begins = begins and not picture.placed(job.id) and not picture.finished(job)
+            begins = begins and not cluster_state.placed(job.id) and not cluster_state.finished(job)
             return Standing(0, len(waits) + len(done), aged, by_room and not aged and not begins, begins)
         age_us = wall_us - job.ready_us
-        least_us = LAUNCH_US + fetch_us(job, picture.types.values())
+        least_us = LAUNCH_US + fetch_us(job, cluster_state.types.values())
         run_us = self._pace.run_us(job) if done else 0
         # What it could never have made it has not missed.  Found in a recorded day: a gang that takes longer than its
         # class is to take in all went behind everything that came for five minutes.
@@ -118,7 +118,7 @@
         return Standing(missed, len(waits) + len(done), age_us > AGED * max([*waits, *done]))
 
     def arrange(
-        self, jobs: list[Job], inside: set[str], picture: Picture, wall_us: int
+        self, jobs: list[Job], inside: set[str], cluster_state: ClusterState, wall_us: int
     ) -> tuple[list[Job], set[str]]:
         """A queue served by age, with the jobs of each team and priority in their bands, or by the room they need;
         and which have missed all the times that are stated for them.
@@ -131,10 +131,10 @@
         too_late: set[str] = set()
         self.begins = set()
         changes = False
-        largest = largest_of(picture.types.values())
+        largest = largest_of(cluster_state.types.values())
         for job in jobs:
-            standing = self.standing(job, picture, wall_us)
-            rank = (standing.band, self.room_left(job, picture, largest) if standing.by_room else 0.0)
+            standing = self.standing(job, cluster_state, wall_us)
+            rank = (standing.band, self.room_left(job, cluster_state, largest) if standing.by_room else 0.0)
             changes = changes or any(rank)
             if standing.begins:
                 self.begins.add(job.id)
@@ -150,7 +150,7 @@
         turns = {level: iter(sorted(alike, key=lambda entry: entry[0])) for level, alike in of_level.items()}
         return [next(turns[level])[1] for level in levels], too_late
 
-    def room_left(self, job: Job, picture: Picture, largest: Amounts) -> float:
+    def room_left(self, job: Job, cluster_state: ClusterState, largest: Amounts) -> float:
         """What a job's tasks without a place will take until they are done, in machine microseconds.
 
         The scarcest part of the largest machine counts (dominant shares: Ghodsi and others, 2011), so that jobs of
@@ -161,7 +161,7 @@
             (need / most for need, most in zip((spec.cpus, spec.gpus, spec.memory_gb), largest, strict=True) if most),
             default=1.0,
         )
-        return len(picture.waiting().get(job.id, ())) * part * self._pace.run_us(job)
+        return len(cluster_state.waiting().get(job.id, ())) * part * self._pace.run_us(job)
 
 
 def largest_of(kinds: Iterable[MachineType]) -> Amounts:
--- a/ashtray/placement/records.py
+++ b/ashtray/placement/records.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-EPS = 1e-6
+AMOUNT_TOLERANCE = 1e-6
 """Tolerance, in CPUs, GPUs or GB, when sums of amounts are compared."""
 UNBOUNDED_TASKS = 1_000_000
 """How many tasks fit where they need nothing."""
 
 
-class HoldRecord(msgspec.Struct, array_like=True):
+class AllocationRecord(msgspec.Struct, array_like=True):
     """An allocation: the room that some tasks of one attempt of a job take on a machine."""
 
     job: str
@@ -48,7 +48,7 @@
     """Jobs with tasks that failed here since one of their tasks last completed here."""
     images: list[tuple[str, float]] = []
     """The cached images and their sizes in GB."""
-    holds: list[HoldRecord] = []
+    holds: list[AllocationRecord] = []
 
 
 class GroupRecord(msgspec.Struct, omit_defaults=True):
@@ -85,5 +85,5 @@
     def fits(self, cpus: float, gpus: float, memory_gb: float) -> int:
         """Return how many tasks with these needs an empty machine takes."""
         amounts = ((self.cpus, cpus), (self.gpus, gpus), (self.memory_gb, memory_gb))
-        counts = [int((available + EPS) // need) for available, need in amounts if need > 0]
+        counts = [int((available + AMOUNT_TOLERANCE) // need) for available, need in amounts if need > 0]
         return min(counts, default=UNBOUNDED_TASKS)
--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -12,7 +12,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.jobs.model import JobSpec
 from ashtray.placement.machine_groups import Machine
-from ashtray.placement.records import EPS, MachineType
+from ashtray.placement.records import AMOUNT_TOLERANCE, MachineType
 
 
 @dataclass(slots=True)
@@ -32,15 +32,15 @@
         # Asked for each machine and job: plain comparisons take half the time that `min` takes.
         most: float = spec.tasks
         if spec.cpus > 0:
-            number = (self.cpus + EPS) // spec.cpus
+            number = (self.cpus + AMOUNT_TOLERANCE) // spec.cpus
             if number < most:
                 most = number
         if spec.gpus > 0:
-            number = (self.gpus + EPS) // spec.gpus
+            number = (self.gpus + AMOUNT_TOLERANCE) // spec.gpus
             if number < most:
                 most = number
         if spec.memory_gb > 0:
-            number = (self.memory_gb + EPS) // spec.memory_gb
+            number = (self.memory_gb + AMOUNT_TOLERANCE) // spec.memory_gb
             if number < most:
                 most = number
         return int(most)
@@ -124,7 +124,7 @@
     """While tasks wait for GPUs, others leave each free GPU its part of the machine's CPUs."""
     if not ask.spare_gpus or ask.spec.gpus > 0 or room.type.gpus <= 0:
         return True
-    return room.cpus - ask.spec.cpus + EPS >= room.gpus * room.type.cpus / room.type.gpus
+    return room.cpus - ask.spec.cpus + AMOUNT_TOLERANCE >= room.gpus * room.type.cpus / room.type.gpus
 
 
 VALIDATORS = [
--- a/ashtray/placement/task_index.py
+++ b/ashtray/placement/task_index.py
@@ -11,7 +11,7 @@
 
 from ashtray.jobs.dependencies import Dependencies
 from ashtray.jobs.model import UNLIMITED, Job
-from ashtray.placement.machine_groups import Hold, HoldKey
+from ashtray.placement.machine_groups import Allocation, AllocationKey
 
 MOST_LEAVING_STALE = 100
 """So many changed jobs are kept at the most until somebody asks which tasks are about to end."""
@@ -60,7 +60,7 @@
         self._is_confirmed = is_confirmed
         self._clock = clock
         self._most_later = most_later
-        self._held: Mapping[str, dict[HoldKey, Hold]] = {}
+        self._held: Mapping[str, dict[AllocationKey, Allocation]] = {}
         self._done: Mapping[str, dict[str, set[int]]] = {}
         self._placed: dict[str, set[int]] = {}
         self._finished: dict[str, set[int]] = {}
@@ -70,11 +70,13 @@
         """Jobs for which the four tables above are to be worked out anew."""
         self._unconfirmed: set[str] = set()
         """Small jobs all of whose tasks are done by changes that are later than what was read."""
-        self._leaving: dict[str, list[tuple[str, Hold]]] = {}
+        self._leaving: dict[str, list[tuple[str, Allocation]]] = {}
         """True of all jobs but those in `_leaving_stale`."""
         self._leaving_stale: set[str] = set()
 
-    def follow(self, held: Mapping[str, dict[HoldKey, Hold]], done: Mapping[str, dict[str, set[int]]]) -> None:
+    def follow(
+        self, held: Mapping[str, dict[AllocationKey, Allocation]], done: Mapping[str, dict[str, set[int]]]
+    ) -> None:
         """Use these tables, by job, of allocations and of completed tasks by group; see `GroupIndex`."""
         self._held = held
         self._done = done
@@ -140,7 +142,7 @@
             self._settle()
         return bool(self._unconfirmed)
 
-    def leaving(self) -> dict[str, list[tuple[str, Hold]]]:
+    def leaving(self) -> dict[str, list[tuple[str, Allocation]]]:
         """Return, by job, the allocations whose tasks are about to end, each with the name of its machine.
 
         These tasks were told to stop, are of a failed attempt, or their job is over.
@@ -155,7 +157,7 @@
                     self._leaving.pop(job_id, None)
         return self._leaving
 
-    def _leaving_of(self, job_id: str) -> list[tuple[str, Hold]]:
+    def _leaving_of(self, job_id: str) -> list[tuple[str, Allocation]]:
         job = self._jobs.get(job_id)
         broken = UNLIMITED if job is None else job.record.broken
         return [
--- a/ashtray/placement/team_usage.py
+++ b/ashtray/placement/team_usage.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ashtray.placement.records import HoldRecord
+from ashtray.placement.records import AllocationRecord
 
 MICRO = 1_000_000
 """Sums are kept in whole millionths, so that what is added and taken away again leaves exactly nothing."""
@@ -17,7 +17,7 @@
         self._by_controller: dict[tuple[str, str], tuple[int, int]] = {}
         """By team and placing controller."""
 
-    def add(self, record: HoldRecord, tasks: int) -> None:
+    def add(self, record: AllocationRecord, tasks: int) -> None:
         """Add an allocation of so many tasks; a negative number takes one away."""
         cpus = tasks * round(record.cpus * MICRO)
         gpus = tasks * round(record.gpus * MICRO)
--- a/ashtray/standby/takeover.py
+++ b/ashtray/standby/takeover.py
@@ -16,7 +16,7 @@
     """The checks, in the order in which they are made, with the reason for each."""
 
     TERM = "the duty's key is this controller's, under a lease that is surely there"
-    READ = "the picture was read after the duty was taken: what the former committed last is in it"
+    READ = "the cluster state was read after the duty was taken: what the former committed last is in it"
     AWAKE = "this process has not stood still since: it would decide on what is past"
     INTENTS = "what the former had written down to rent is repeated under its names, so nothing is rented twice"
     LIST = "the cloud's list was read since: it shows what nobody wrote down"
--- a/ashtray/store/__init__.py
+++ b/ashtray/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: requests within the shared budgets, transactions, leases and the picture's source."""
+"""The state service: requests within the shared budgets, transactions, leases and the cluster state's source."""
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a picture of what is under a prefix, and proves to callers how fresh it is."""
+"""Keeps a cluster state of what is under a prefix, and proves to callers how fresh it is."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     The former is a part of the latter: what grows with history is never read, and yet its changes are seen.
 
     A round that begins after a caller asked is that caller's barrier: whatever was true when it asked is in
-    the picture afterwards.  One round serves all callers that wait.
+    the cluster state afterwards.  One round serves all callers that wait.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.changed = changed
         self.revision = 0
         self.followed_from = 0
-        """The revision from which on every change has been followed, where the picture is loaded."""
+        """The revision from which on every change has been followed, where the cluster state is loaded."""
         self.controllers = 1
         """How many follow: they share the requests."""
         self.loaded = False
@@ -175,7 +175,8 @@
     def commit(
         self, build: Callable[[], Txn | None], changes: int, urgency: Urgency, purpose: str
     ) -> Fiber[bool | None]:
-        """Commit what `build` makes of the picture as it is then; on success the picture shows it at once.
+        """Commit what `build` makes of the cluster state as it is then; on success the cluster state shows it at
+        once.
 
         False: a conflict, a refusal, or the outcome is unknown.  None: there was nothing to commit any more.
         """
@@ -193,8 +194,9 @@
         """Show a change of this process at once, unless it has been read already.
 
         Its answer may come after the round that read it, and after another's change that was read with it: a record
-        that was removed since would stand in the picture for ever.  So would one whose answer comes while the pages
-        are read anew, if it is removed before its page is read: the pages, or the round after them, have the change.
+        that was removed since would stand in the cluster state for ever.  So would one whose answer comes while
+        the pages are read anew, if it is removed before its page is read: the pages, or the round after them, have
+        the change.
         What is in no page, such as a final state, is shown all the same.
         """
         if version <= self.revision:
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -1,7 +1,7 @@
 """Teams' limits, shared out between controllers, so that placements of one team need not conflict.
 
 A team's record holds what each controller may use of the limit.  A placement guards the record's version and
-leaves it as it is; only a change of the shares writes it.  For a picture that is no older than the record,
+leaves it as it is; only a change of the shares writes it.  For a cluster state that is no older than the record,
 
     the sum over controllers of max(share, what the holds placed by it use) is at most the limit,
 
@@ -16,8 +16,8 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job, JobSpec
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.records import EPS
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.state_keys import TEAM
 from ashtray.store.client import Txn
 from ashtray.teams.limits import has_limit, tasks_within
@@ -53,18 +53,21 @@
 class Grants:
     """What this controller may use of the limits of teams, and the changes of the records that say so."""
 
-    def __init__(self, host: str, hosts: Iterable[str], teams: Iterable[Team], picture: Picture) -> None:
+    def __init__(self, host: str, hosts: Iterable[str], teams: Iterable[Team], cluster_state: ClusterState) -> None:
         self.host = host
         self.hosts = sorted({host, *hosts})
         self.teams = {team.name: team for team in teams if has_limit(team)}
-        self.picture = picture
+        self.cluster_state = cluster_state
         self._above: dict[str, int] = {}
         """For each team whose record must be raised first: what this controller may have on its way guards no later
         version than this one."""
         self._fenced: set[str] = set()
         """Teams of which all placements of this controller are known."""
         self._read = 0
-        """Up to which revision the picture was read: own commits show in it at once, those before them need not."""
+        """Up to which revision the cluster state was read.
+
+        Own commits show in it at once, those before them need not.
+        """
 
     def limited(self, name: str) -> bool:
         """Whether a team has a limit."""
@@ -79,7 +82,7 @@
         """A placement got no answer: it may be applied as long as the team's record is as it was."""
         for name in names:
             self._fenced.discard(name)
-            self._above[name] = self.picture.version(TEAM + name)
+            self._above[name] = self.cluster_state.version(TEAM + name)
 
     def fence(self, names: Iterable[str]) -> Txn | None:
         """Raise the records' versions: what was placed before and is not seen after that can never be applied."""
@@ -87,15 +90,16 @@
         for name in names:
             key = TEAM + name
             if not self.ready(name):
-                txn.guard(key, self.picture.version(key)).put(key, self._shares(name))
+                txn.guard(key, self.cluster_state.version(key)).put(key, self._shares(name))
         return txn if txn.puts else None
 
     def seen(self, revision: int) -> None:
-        """The picture shows all up to that revision.  Whoever raised a record since, this controller or another, has
-        fenced off what this one had on its way: it either is in the picture or can never be applied."""
+        """The cluster state shows all up to that revision.  Whoever raised a record since, this controller or
+        another, has fenced off what this one had on its way: it either is in the cluster state or can never be
+        applied."""
         self._read = revision
         for name, above in list(self._above.items()):
-            if above < self.picture.version(TEAM + name) <= revision:
+            if above < self.cluster_state.version(TEAM + name) <= revision:
                 del self._above[name]
                 self._fenced.add(name)
 
@@ -104,21 +108,21 @@
         return name in self._fenced
 
     def _shares(self, name: str) -> dict[str, Share]:
-        shares = self.picture.shares.get(name)
+        shares = self.cluster_state.shares.get(name)
         if shares is None:
             team, n = self.teams[name], len(self.hosts)
             shares = dict.fromkeys(self.hosts, (team.cpus_max / n, team.gpus_max / n))
         return shares
 
     def own_share(self, name: str) -> Share:
-        """This controller's share of a team's limit, by the picture."""
+        """This controller's share of a team's limit, by the cluster state."""
         return self._shares(name).get(self.host, (0.0, 0.0))
 
     def lines(self, waiting: Mapping[str, Sized]) -> list[str]:
         """For each limit how much of it is used, and how much lies in whose share, for people."""
         wait: dict[str, int] = dict.fromkeys(self.teams, 0)
         for job_id, tasks in waiting.items():
-            job = self.picture.jobs.get(job_id)
+            job = self.cluster_state.jobs.get(job_id)
             if job is not None and job.spec.team in wait:
                 wait[job.spec.team] += len(tasks)
         found = []
@@ -127,10 +131,10 @@
             for n, what, limit in ((0, "CPUs", team.cpus_max), (1, "GPUs", team.gpus_max)):
                 if limit:
                     parts = ", ".join(
-                        f"{host} {self.picture.team_usage(name, host)[n]:g} of {share[n]:g}"
+                        f"{host} {self.cluster_state.team_usage(name, host)[n]:g} of {share[n]:g}"
                         for host, share in sorted(shares.items())
                     )
-                    used = self.picture.team_usage(name)[n]
+                    used = self.cluster_state.team_usage(name)[n]
                     found.append(f"limit of {name}: {used:g} of {limit:g} {what}, {wait[name]} tasks wait; {parts}")
         return found
 
@@ -141,9 +145,9 @@
         return self.allowed_to(self.host, name, spec, cpus, gpus)
 
     def allowed_to(self, host: str, name: str, spec: JobSpec, cpus: float = 0.0, gpus: float = 0.0) -> int:
-        """How many tasks a controller's share allows it, by this picture, when so much goes with them."""
+        """How many tasks a controller's share allows it, by this cluster state, when so much goes with them."""
         share = self._shares(name).get(host, (0.0, 0.0))
-        used = self.picture.team_usage(name, host)
+        used = self.cluster_state.team_usage(name, host)
         within = _within(self.teams[name], share)
         return tasks_within(within, used[0] + cpus, used[1] + gpus, spec)
 
@@ -161,7 +165,7 @@
         prospects (`placement/prospects.py`) needs nothing now.
         """
         found = dict.fromkeys(able, NOTHING)
-        waiting = self.picture.waiting()
+        waiting = self.cluster_state.waiting()
         for turn, job in enumerate(queue):
             if job.spec.team == name and has_prospects(job):
                 host, number = owner(job), len(waiting.get(job.id, ()))
@@ -185,7 +189,8 @@
         """Take what is in nobody's share for so many more tasks, and ask others to give up what they cannot use.
 
         What another controller gives up may be in use before it knows: it is taken only by a later change, made on
-        a picture in which the lower share already binds.  So a share may be lowered at any time, whoever holds it,
+        a cluster state in which the lower share already binds.  So a share may be lowered at any time, whoever
+        holds it,
         and that of a controller that places nothing any more to nothing: what its tasks still use counts as long as
         they do, and what they leave is free at once.
 
@@ -197,22 +202,22 @@
         jobs took what was left of a limit from one another before any of them could place for it, without end.
         """
         key = TEAM + name
-        if self._read < self.picture.version(key):
-            # This controller's own last change is in its picture, and what others placed before it may not be: on
-            # that, what they use already would be taken for free.  Point 8.
+        if self._read < self.cluster_state.version(key):
+            # This controller's own last change is in its cluster state, and what others placed before it may not
+            # be: on that, what they use already would be taken for free.  Point 8.
             return None
         team = self.teams[name]
         limits = (team.cpus_max, team.gpus_max)
         shares = {host: (float(c), float(g)) for host, (c, g) in self._shares(name).items()}
         own = shares.setdefault(self.host, (0.0, 0.0))
-        used = {host: self.picture.team_usage(name, host) for host in {*shares, *self.hosts}}
+        used = {host: self.cluster_state.team_usage(name, host) for host in {*shares, *self.hosts}}
         others = [host for host in used if host != self.host]
         free = [
             limits[n] - sum(max(shares.get(host, (0.0, 0.0))[n], used[host][n]) for host in others) for n in (0, 1)
         ]
         more = (count * spec.cpus, count * spec.gpus)
         need = [used[self.host][n] + more[n] for n in (0, 1)]
-        short = [n for n in (0, 1) if limits[n] and need[n] > free[n] + EPS]
+        short = [n for n in (0, 1) if limits[n] and need[n] > free[n] + AMOUNT_TOLERANCE]
         can = tasks_within(_within(team, own), *used[self.host], spec)
         could = tasks_within(_within(team, (free[0], free[1])), *used[self.host], spec)
         new = dict(shares)
@@ -235,14 +240,14 @@
                     new[host] = tuple(shares[host][n] - (give[n] if n in short else 0.0) for n in (0, 1))  # type: ignore[assignment]
         if new == shares:
             return None
-        return Txn().guard(key, self.picture.version(key)).put(key, new)
+        return Txn().guard(key, self.cluster_state.version(key)).put(key, new)
 
     def _raised(self, own: Share, free: list[float], need: list[float], wants: Mapping[str, Want]) -> Share:
         """The own share with what is needed now, and its part, by what waits, of what is in nobody's share."""
         raised = []
         for n in (0, 1):
             extra = free[n] - own[n]
-            mine = max(_amount(wants.get(self.host, NOTHING), n), need[n] - own[n], EPS)
+            mine = max(_amount(wants.get(self.host, NOTHING), n), need[n] - own[n], AMOUNT_TOLERANCE)
             rest = sum(_amount(want, n) for host, want in wants.items() if host != self.host)
             part = extra * mine / (mine + rest)
             raised.append(own[n] + min(extra, max(part, need[n] - own[n])) if extra > 0 else own[n])
@@ -264,7 +269,7 @@
         for n in (0, 1):
             unused = max(share[n] - used[host][n], 0.0)
             # A rest that is too small for any of its tasks is of no use to it.
-            idle = pressed or unused < wants[host].least[n] - EPS
+            idle = pressed or unused < wants[host].least[n] - AMOUNT_TOLERANCE
             spare.append(unused if idle else max(unused - _amount(wants[host], n), 0.0))
         return spare[0], spare[1]
 
@@ -315,6 +320,6 @@
     """The team as one controller sees it: its share is the limit.  A share of nothing is not 'no limit'."""
     return Team(
         team.name,
-        cpus_max=max(share[0], EPS) if team.cpus_max else 0.0,
-        gpus_max=max(share[1], EPS) if team.gpus_max else 0.0,
+        cpus_max=max(share[0], AMOUNT_TOLERANCE) if team.cpus_max else 0.0,
+        gpus_max=max(share[1], AMOUNT_TOLERANCE) if team.gpus_max else 0.0,
     )
--- a/ashtray/teams/limits.py
+++ b/ashtray/teams/limits.py
@@ -6,7 +6,7 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import Job, JobSpec
-from ashtray.placement.records import EPS
+from ashtray.placement.records import AMOUNT_TOLERANCE
 
 
 def has_limit(team: Team) -> bool:
@@ -19,7 +19,7 @@
     count = spec.tasks
     for limit, used, need in ((team.cpus_max, cpus, spec.cpus), (team.gpus_max, gpus, spec.gpus)):
         if limit > 0 and need > 0:
-            count = min(count, int((limit - used + EPS) // need))
+            count = min(count, int((limit - used + AMOUNT_TOLERANCE) // need))
     return max(count, 0)
 
 
@@ -39,6 +39,6 @@
         left = job.spec.tasks - done
         cpus += left * job.spec.cpus
         gpus += left * job.spec.gpus
-        if cpus <= team.cpus + EPS and gpus <= team.gpus + EPS:
+        if cpus <= team.cpus + AMOUNT_TOLERANCE and gpus <= team.gpus + AMOUNT_TOLERANCE:
             inside.add(job.id)
     return inside
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -13,7 +13,7 @@
 from ashtray.placement.machine_groups import Group, Machine
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers import messages
-from ashtray.workers.folding import Evidence, Fold, adoption, ends_later, hold_is_dead, saves_now
+from ashtray.workers.folding import Evidence, Fold, adoption, allocation_is_dead, ends_later, saves_now
 from ashtray.workers.messages import Report, TaskKey, parse_report
 from ashtray.workers.order_delivery import OrderDelivery, note_underway
 from ashtray.workers.renewal import RenewalGuard
@@ -109,9 +109,9 @@
         orders = [
             messages.kill(key, 0)
             for key, seen in report.tasks.items()
-            if seen.state != "ended" and self.base.picture.is_over(key[0])
+            if seen.state != "ended" and self.base.cluster_state.is_over(key[0])
         ]
-        machine = self.base.picture.machines.get(worker.name)
+        machine = self.base.cluster_state.machines.get(worker.name)
         if machine is None:
             # Only what reports is added: found on a simulated day, machines just deleted were added again when
             # their removal was noticed, for their last reports were still known.
@@ -135,7 +135,7 @@
         now = self.kernel.now_us
         if now < worker.sticks_until_us:
             return self.peers.better_connected()
-        machine = self.base.picture.machines.get(worker.name)
+        machine = self.base.cluster_state.machines.get(worker.name)
         # Machines that are new report to one controller for each type, so that one adopts them together.
         key = machine.group if machine is not None else f"{report.type}.{report.zone}"
         foreman = self.presence.foreman(key)
@@ -157,7 +157,7 @@
         worker.report = report
         if report.token >= 1 << 64:
             return
-        machine = self.base.picture.machines.get(worker.name)
+        machine = self.base.cluster_state.machines.get(worker.name)
         signed = machine.record.token if machine is not None else 0
         # A machine that ended and is back has forgotten its token, and a controller that has started since knows of
         # none: one below the record's could never be signed, and what the machine holds would stand for ever (3).
@@ -182,7 +182,7 @@
         to be written into the record before any order, and a fold that was built before fails by version then.
         """
         last = worker.report
-        machine = self.base.picture.machines.get(worker.name)
+        machine = self.base.cluster_state.machines.get(worker.name)
         if last is None or machine is None:
             return False
         # A machine that ended and is back has forgotten its token, and counts its sessions from the start.
@@ -208,10 +208,10 @@
         # have begun at any time.
         old = worker.report.tasks if worker.report is not None and worker.exact else None
         started = self.pace.watch.report(worker.name, worker.began, old, report.tasks, self.kernel.now_us)
-        machine = self.base.picture.machines.get(worker.name)
+        machine = self.base.cluster_state.machines.get(worker.name)
         holds = machine.holds if machine is not None else []
         for job_id, attempt, _ in started:
-            job = self.base.picture.jobs.get(job_id)
+            job = self.base.cluster_state.jobs.get(job_id)
             hold = next((h for h in holds if (h.job, h.attempt) == (job_id, attempt)), None)
             if job is not None and hold is not None:
                 self.pace.watch.started(job, self.kernel.wall_us - hold.record.placed_us)
@@ -231,7 +231,7 @@
             self.kernel.spawn(self._tend(worker))
 
     def tend_all(self, names: Iterable[str]) -> None:
-        """These machines' part of the picture has changed: see to their workers."""
+        """These machines' part of the cluster state has changed: see to their workers."""
         for name in names:
             worker = self.workers.get(name)
             if worker is not None:
@@ -246,7 +246,7 @@
             return False
         if self.kernel.now_us - worker.heard_us > int(self.base.settings.cluster.workers.lease_s * SECOND_US):
             return False
-        machine = self.base.picture.machines.get(worker.name)
+        machine = self.base.cluster_state.machines.get(worker.name)
         if machine is None:
             return False
         quiet = worker.quiet if report.notice_us is None else None
@@ -275,7 +275,7 @@
             for _ in range(4):
                 worker.again = False
                 if self._needs(worker):
-                    orders = self._review(worker, self.base.picture.machines[worker.name])
+                    orders = self._review(worker, self.base.cluster_state.machines[worker.name])
                     yield from self.delivery.deliver(worker, orders)
                 if not worker.again:
                     break
@@ -286,7 +286,7 @@
         """Mark a machine whose record is to be folded; says whether there is anything to fold."""
         if not worker.exact:
             return False
-        picture = self.base.picture
+        cluster_state = self.base.cluster_state
         record = machine.record
         unsigned = record.token < worker.token
         notice = report.notice_us is not None and not record.retiring
@@ -299,7 +299,7 @@
         alive = sum(seen.state != "ended" for seen in report.tasks.values())
         for hold in machine.holds:
             ended = 0
-            dead = hold_is_dead(picture, hold.job, hold.attempt, hold.record.stop_us)
+            dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.record.stop_us)
             for task in hold.tasks:
                 seen = report.tasks.get((hold.job, hold.attempt, task))
                 if seen is None:
@@ -312,12 +312,12 @@
                 else:
                     alive -= 1
                     urgent = urgent or (unsigned and dead)
-            holder = picture.jobs.get(hold.job)
+            holder = cluster_state.jobs.get(hold.job)
             if leaves_us is not None and holder is not None and saves_now(holder, hold.record.stop_us, leaves_us):
                 news = urgent = True
             if ended:
                 news = True
-                if holder is not None and not picture.all_done(holder):
+                if holder is not None and not cluster_state.all_done(holder):
                     # One task that is done speaks for its gang: those heard of after it can wait for company.
                     urgent = urgent or holder.spec.kind == "gang" or self._all_ended(holder)
         # What is there without a hold waits for an order as well.
@@ -332,12 +332,14 @@
         For a job that others wait for, all that is left of it here: nobody else hears of that, and a lazy fold would
         hold up the next stage.  Under the lower limits lazy folds are rare, and all that have a time are such jobs.
         """
-        picture = self.base.picture
-        alone = not (job.id in picture.dependencies.dependents or (self.base.limits.low and self.pace.timed(job)))
+        cluster_state = self.base.cluster_state
+        alone = not (
+            job.id in cluster_state.dependencies.dependents or (self.base.limits.low and self.pace.timed(job))
+        )
         many = MANY_TASKS if alone else MANY_TIMED_TASKS
-        if job.id in picture.waiting() or len(picture.placed(job.id)) > many:
+        if job.id in cluster_state.waiting() or len(cluster_state.placed(job.id)) > many:
             return False
-        for (name, _), hold in picture.held.get(job.id, {}).items():
+        for (name, _), hold in cluster_state.allocations.get(job.id, {}).items():
             worker = self.workers.get(name)
             if worker is None or worker.report is None:
                 if alone:
@@ -355,14 +357,14 @@
         assert report is not None
         if worker.settled is not None and worker.settled[0] is machine and worker.settled[1].tasks == report.tasks:
             return []
-        picture = self.base.picture
+        cluster_state = self.base.cluster_state
         kills: list[dict[str, Any]] = []
         launches: list[dict[str, Any]] = []
         held: set[TaskKey] = set()
         fresh = self.kernel.now_us - self.base.follower.read_us < FRESH_US
         for hold in machine.holds:
-            dead = hold_is_dead(picture, hold.job, hold.attempt, hold.record.stop_us)
-            over = picture.is_over(hold.job)
+            dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.record.stop_us)
+            over = cluster_state.is_over(hold.job)
             for task in hold.tasks:
                 key = (hold.job, hold.attempt, task)
                 held.add(key)
@@ -405,7 +407,7 @@
         taken: list[str] = []
 
         def build() -> Txn | None:
-            known = self.base.picture.machines
+            known = self.base.cluster_state.machines
             self._strangers = {name: report for name, report in self._strangers.items() if name not in known}
             kinds: dict[tuple[str, str], dict[str, Report]] = {}
             for name, report in self._strangers.items():
@@ -413,7 +415,7 @@
             if not kinds:
                 return None
             largest = max(kinds.values(), key=len)
-            txn, taken[:] = adoption(self.base.picture, largest, self.base.knobs.group_size, self.base.limits)
+            txn, taken[:] = adoption(self.base.cluster_state, largest, self.base.knobs.group_size, self.base.limits)
             return txn
 
         if (yield from self.base.follower.commit(build, 2, Urgency.FREE, "adopt")):
@@ -453,15 +455,15 @@
         return None if worker.notice_until_us is None else worker.notice_until_us - self.kernel.now_us
 
     def _fold(self) -> Txn | None:
-        picture = self.base.picture
-        fold = Fold(self.kernel, picture, self.base.limits)
+        cluster_state = self.base.cluster_state
+        fold = Fold(self.kernel, cluster_state, self.base.limits)
         for job in self._completed(later=False):
             fold.end(job)
         # Those that were marked first come first, for not all may fit.
         for key, names in list(self._dirty.items()):
             if not self._due and key not in self._urgent:
                 continue
-            group = picture.groups.get(key)
+            group = cluster_state.groups.get(key)
             if group is not None:
                 fold.add(group, names, self._evidence(group))
             self._unmark(key, names if group is None else fold.idle)
@@ -470,9 +472,9 @@
 
     def light(self, groups: Iterable[str] | None = None) -> Fold:
         """What reports have freed here and no commit has yet: a placement in the same groups takes it along."""
-        fold = Fold(self.kernel, self.base.picture, self.base.limits)
+        fold = Fold(self.kernel, self.base.cluster_state, self.base.limits)
         for key in list(self._dirty) if groups is None else groups:
-            group = self.base.picture.groups.get(key)
+            group = self.base.cluster_state.groups.get(key)
             if group is not None and key in self._dirty:
                 fold.add_light(group, self._dirty[key], self._evidence(group))
         return fold
@@ -532,8 +534,8 @@
 
     def _completed(self, later: bool) -> list[Job]:
         """This controller's jobs all of whose tasks are done: those whose records may wait, or those that may not."""
-        picture = self.base.picture
-        jobs = (picture.jobs[job_id] for job_id in sorted(picture.completed()))
+        cluster_state = self.base.cluster_state
+        jobs = (cluster_state.jobs[job_id] for job_id in sorted(cluster_state.completed()))
         return [job for job in jobs if ends_later(job, self.base.limits) == later and self.presence.mine(job)]
 
     def tidy(self) -> Fiber[None]:
@@ -564,10 +566,10 @@
         """Move the records of jobs that count as done, two changes each."""
 
         def build() -> Txn | None:
-            fold = Fold(self.kernel, self.base.picture, self.base.limits)
+            fold = Fold(self.kernel, self.base.cluster_state, self.base.limits)
             for job in jobs:
-                if job.id in self.base.picture.completed():
-                    fold.end(self.base.picture.jobs[job.id])
+                if job.id in self.base.cluster_state.completed():
+                    fold.end(self.base.cluster_state.jobs[job.id])
             return fold.transaction()
 
         yield from self.base.follower.commit(build, min(2 * len(jobs), self.base.limits.ops), urgency, "tidy")
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -7,10 +7,10 @@
 
 from ashtray.jobs.model import LIVE, MOST_LATER, OVER, Job
 from ashtray.kernel import SECOND_US, Kernel
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.group_edit import Edit
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.group_edit import GroupEdit
 from ashtray.placement.machine_groups import Group, Machine
-from ashtray.placement.records import HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AllocationRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import ADOPTED, GROUP
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn
@@ -67,12 +67,12 @@
         self.ends = self.ends or other.ends
 
 
-def hold_is_dead(picture: Picture, job_id: str, attempt: int, stop_us: int) -> bool:
+def allocation_is_dead(cluster_state: ClusterState, job_id: str, attempt: int, stop_us: int) -> bool:
     """Whether a hold's tasks are not to be started any more."""
-    job = picture.jobs.get(job_id)
+    job = cluster_state.jobs.get(job_id)
     if job is None or stop_us >= 0 or attempt <= job.record.broken:
         return True
-    return job_id in picture.cancelled_elsewhere
+    return job_id in cluster_state.cancelled_elsewhere
 
 
 @dataclass
@@ -91,7 +91,7 @@
 
 
 def fold_machine(
-    picture: Picture,
+    cluster_state: ClusterState,
     machine: Machine,
     record: MachineRecord,
     evidence: Evidence,
@@ -120,21 +120,21 @@
             kept.append(hold)
             continue
         tasks = known.tasks
-        dead = hold_is_dead(picture, hold.job, hold.attempt, hold.stop_us)
+        dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.stop_us)
         left = set()
         for task in tasks:
             seen: TaskState | None = report.tasks.get((hold.job, hold.attempt, task))
             if seen is not None and seen.state == "ended":
-                note_end(picture, machine.name, record, hold, task, seen.cause, folds)
+                note_end(cluster_state, machine.name, record, hold, task, seen.cause, folds)
             elif seen is None and dead and sure:
-                note_end(picture, machine.name, record, hold, task, "absent", folds)
+                note_end(cluster_state, machine.name, record, hold, task, "absent", folds)
             else:
                 left.add(task)
         if len(left) < len(tasks):
             changed = True
             hold.tasks = encode_runs(left)
         if left:
-            job = picture.jobs.get(hold.job)
+            job = cluster_state.jobs.get(hold.job)
             if job is not None and saves_now(job, hold.stop_us, evidence.leaves_us):
                 hold.stop_us = job.spec.save_us
                 changed = True
@@ -155,17 +155,17 @@
 
 
 def note_end(
-    picture: Picture,
+    cluster_state: ClusterState,
     name: str,
     record: MachineRecord,
-    hold: HoldRecord,
+    hold: AllocationRecord,
     task: int,
     cause: str | None,
     folds: dict[str, JobFold],
 ) -> None:
     """Account for one task that has left its machine."""
     job_id, attempt = hold.job, hold.attempt
-    job = picture.jobs.get(job_id)
+    job = cluster_state.jobs.get(job_id)
     if cause == "done":
         record.failed = []
     elif cause == "error" and job_id not in record.failed:
@@ -193,9 +193,9 @@
     return txn.guard(LIVE + job.id, job.version).remove(LIVE + job.id).put(OVER + job.id, over)
 
 
-def put_job(kernel: Kernel, picture: Picture, txn: Txn, job: Job, fold: JobFold) -> bool:
+def put_job(kernel: Kernel, cluster_state: ClusterState, txn: Txn, job: Job, fold: JobFold) -> bool:
     """Add a job's change to a transaction; says whether the job is done with it."""
-    if ends_with(picture, job, fold):
+    if ends_with(cluster_state, job, fold):
         end_job(txn, job, "done", job.spec.tasks, kernel.wall_us)
         return True
     txn.guard(LIVE + job.id, job.version)
@@ -219,15 +219,15 @@
     return False
 
 
-def ends_with(picture: Picture, job: Job, fold: JobFold) -> bool:
+def ends_with(cluster_state: ClusterState, job: Job, fold: JobFold) -> bool:
     """Whether all tasks of a job are done.
 
-    Tasks once done stay done, so a late picture can only make a job end later.
+    Tasks once done stay done, so a late cluster state can only make a job end later.
     """
     if job.spec.kind == "service":
         return False
     tasks = job.spec.tasks
-    known = picture.finished(job)
+    known = cluster_state.finished(job)
     return len(known) + len(fold.finished) >= tasks and len(known | fold.finished) >= tasks
 
 
@@ -248,9 +248,9 @@
 class Fold:
     """One transaction that folds as much as fits of what is known of some machines."""
 
-    def __init__(self, kernel: Kernel, picture: Picture, limits: Limits) -> None:
+    def __init__(self, kernel: Kernel, cluster_state: ClusterState, limits: Limits) -> None:
         self.kernel = kernel
-        self.picture = picture
+        self.cluster_state = cluster_state
         self.limits = limits
         self.jobs: dict[str, JobFold] = {}
         self.lines: list[str] = []
@@ -259,21 +259,21 @@
         self.taken: set[str] = set()
         self.freed: dict[str, tuple[float, float, float]] = {}
         """The room that light folds free, by machine."""
-        self.edits: dict[str, Edit] = {}
+        self.edits: dict[str, GroupEdit] = {}
         self._ops = 0
         self._bytes = 0
         self._sizes: dict[str, int] = {}
 
     def add(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
         """Fold the reports of some of a group's machines, as far as there is room for the changes."""
-        edit = Edit(group)
+        edit = GroupEdit(group)
         for name, machine, known in self._reported(group, names, evidence):
             for full in (False, True):
                 # Where what completed would make the record too large, it goes into the jobs' own.
                 spills = full or self._full(group)
                 record = edit.copy_of(name)
                 trial: dict[str, JobFold] = {}
-                if not fold_machine(self.picture, machine, record, known, trial):
+                if not fold_machine(self.cluster_state, machine, record, known, trial):
                     self.idle.add(name)
                     break
                 # A job that ends may cost two changes: more than a transaction takes are folded in turns.
@@ -281,7 +281,7 @@
                 later = set(costly[max((self.limits.ops - 1) // 2, 1) :])
                 if later:
                     record, trial = edit.copy_of(name), {}
-                    fold_machine(self.picture, machine, record, known, trial, later)
+                    fold_machine(self.cluster_state, machine, record, known, trial, later)
                 ops = sum(self._ops_of(j, fold, edit, spills) for j, fold in trial.items())
                 after = self._size_after(edit, machine, record, trial)
                 if not self.limits.takes(after, len(group.machines) == 1 and after < group.size):
@@ -297,11 +297,11 @@
 
     def add_light(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
         """Fold those reports that change their group's record only."""
-        edit = Edit(group)
+        edit = GroupEdit(group)
         for name, machine, known in self._reported(group, names, evidence):
             record = edit.copy_of(name)
             trial: dict[str, JobFold] = {}
-            if not fold_machine(self.picture, machine, record, known, trial):
+            if not fold_machine(self.cluster_state, machine, record, known, trial):
                 continue
             if any(self._ops_of(job_id, fold, edit, self._full(group)) for job_id, fold in trial.items()):
                 continue
@@ -336,7 +336,7 @@
     def _full(self, group: Group) -> bool:
         return self._size(group) > self.limits.value_bytes * SPILL_SHARE
 
-    def _size_after(self, edit: Edit, machine: Machine, record: MachineRecord, folds: dict[str, JobFold]) -> int:
+    def _size_after(self, edit: GroupEdit, machine: Machine, record: MachineRecord, folds: dict[str, JobFold]) -> int:
         """What a group's record takes with one machine's report; while there is room, more rather than less."""
         done = dict(edit.done)
         rough = self._size(edit.group) + SIGNED_BYTES + sum(len(hold.tasks) for hold in record.holds)
@@ -351,7 +351,7 @@
             return rough
         return edit.size_with(machine.name, record, done, self.limits)
 
-    def _keep(self, edit: Edit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int) -> None:
+    def _keep(self, edit: GroupEdit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int) -> None:
         """Make what a machine's report says a part of this transaction."""
         edit.replace(name, record)
         self.edits[edit.group.key] = edit
@@ -364,9 +364,9 @@
             elif fold.finished:
                 edit.add_done(job_id, fold.finished)
 
-    def _ops_of(self, job_id: str, fold: JobFold, edit: Edit, full: bool) -> int:
+    def _ops_of(self, job_id: str, fold: JobFold, edit: GroupEdit, full: bool) -> int:
         """How many more changes a job's part costs; the end of one, its short record and its removal, costs two."""
-        job = self.picture.jobs[job_id]
+        job = self.cluster_state.jobs[job_id]
         both = JobFold()
         before = self.jobs.get(job_id)
         if before is not None:
@@ -384,7 +384,7 @@
 
     def _cost(self, job: Job, fold: JobFold) -> int:
         writes = self._writes(job, fold)
-        if ends_with(self.picture, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
+        if ends_with(self.cluster_state, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
             return 2
         return 1 if writes else 0
 
@@ -404,16 +404,16 @@
         txn = Txn()
         ended: set[str] = set()
         for job_id, fold in self.jobs.items():
-            job = self.picture.jobs[job_id]
+            job = self.cluster_state.jobs[job_id]
             if self._cost(job, fold):
-                if put_job(self.kernel, self.picture, txn, job, fold):
+                if put_job(self.kernel, self.cluster_state, txn, job, fold):
                     ended.add(job_id)
                     self.lines.append(f"{job_id} is done")
                 elif fold.broken or fold.errors:
                     self.lines.append(f"{job_id} lost tasks: gang attempt {fold.broken}, errors {fold.errors}")
 
         def still(job_id: str) -> bool:
-            return self.picture.is_live(job_id) and job_id not in ended
+            return self.cluster_state.is_live(job_id) and job_id not in ended
 
         for edit in self.edits.values():
             if not edit.write(txn, self.limits, still):
@@ -442,7 +442,7 @@
 
 
 def adoption(
-    picture: Picture, strangers: dict[str, Report], fixed: int | None, limits: Limits
+    cluster_state: ClusterState, strangers: dict[str, Report], fixed: int | None, limits: Limits
 ) -> tuple[Txn, list[str]]:
     """Add unknown machines of one type and zone to groups that have room, or to new ones.
 
@@ -450,13 +450,13 @@
     gets into two groups.
     """
     first = next(iter(strangers.values()))
-    size = fixed or group_size(picture.types.get(first.type), limits)
+    size = fixed or group_size(cluster_state.types.get(first.type), limits)
     full = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
     kind = (first.type, first.zone)
     lock = f"{ADOPTED}{first.type}.{first.zone}"
-    groups = (group for _, group in sorted(picture.groups.items()) if (group.type, group.zone) == kind)
+    groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == kind)
     open_groups = [g for g in groups if len(g.machines) < size and g.size < full and not g.moving]
-    txn = Txn().guard(lock, picture.version(lock)).put(lock, picture.version(lock))
+    txn = Txn().guard(lock, cluster_state.version(lock)).put(lock, cluster_state.version(lock))
     taken: list[str] = []
     left = sorted(strangers)
     room = limits.txn_bytes
@@ -467,16 +467,16 @@
             group = open_groups.pop(0)
         else:
             key = f"{GROUP}{first.type}.{first.zone}.{left[0]}"
-            while picture.version(key):
+            while cluster_state.version(key):
                 key += "+"
             group = Group(key, {"type": first.type, "zone": first.zone, "machines": {}}, 0)
-        edit = Edit(group)
+        edit = GroupEdit(group)
         fits = int((full - group.size) // NEW_MACHINE_BYTES) + 1
         part = left[: min(size - len(group.machines), max(fits, 1))]
         left = left[len(part) :]
         for name in part:
             edit.replace(name, MachineRecord(address=strangers[name].address, spot=strangers[name].spot))
         room -= group.size + NEW_MACHINE_BYTES * len(part)
-        if edit.write(txn, limits, picture.is_live):
+        if edit.write(txn, limits, cluster_state.is_live):
             taken += part
     return txn, taken
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -107,7 +107,7 @@
         keys: dict[TaskKey, None] = {key: None for key, seen in report.tasks.items() if seen.state != "ended"}
         if worker.underway is not None:
             keys.update(dict.fromkeys(sorted(worker.underway.tasks)))
-        return [messages.kill(key, 0) for key in keys if self.base.picture.is_over(key[0])]
+        return [messages.kill(key, 0) for key in keys if self.base.cluster_state.is_over(key[0])]
 
     def settle(self, cancelled: Iterable[str]) -> Fiber[list[str]]:
         """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_US` at most.
@@ -116,7 +116,7 @@
         the machines with places of these jobs that report here.
         """
         job_ids = frozenset(cancelled)
-        held = self.base.picture.held
+        held = self.base.cluster_state.allocations
         names = sorted({name for job_id in job_ids for name, _ in held.get(job_id, ())})
         known = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
         until_us = self.kernel.now_us + SETTLE_US
@@ -134,7 +134,9 @@
 
         Their owner has ended, stands still, or has not heard them yet.  Returns after `ELSEWHERE_US` at most.
         """
-        names = sorted({name for name, _ in self.base.picture.held.get(job_id, ())} - settled)[:MOST_ELSEWHERE]
+        names = sorted({name for name, _ in self.base.cluster_state.allocations.get(job_id, ())} - settled)[
+            :MOST_ELSEWHERE
+        ]
         pending, until_us = set(names), self.kernel.now_us + ELSEWHERE_US
         for name in names:
             self.kernel.spawn(self._void_at(name, job_id, pending))
@@ -142,7 +144,7 @@
             yield Wait(self.learnt, until_us - self.kernel.now_us)
 
     def _void_at(self, name: str, job_id: str, pending: set[str]) -> Fiber[None]:
-        worker, machine = self.workers.get(name), self.base.picture.machines.get(name)
+        worker, machine = self.workers.get(name), self.base.cluster_state.machines.get(name)
         if machine is not None and (worker is None or not worker.token):
             yield from self._void_unheard(machine, job_id)
         pending.discard(name)
@@ -165,7 +167,7 @@
         yield Call(address, "POST", "/orders", messages.orders_body(token, report.session, kills), UNHEARD_US)
 
     def _is_to_end(self, key: TaskKey, seen: TaskState) -> bool:
-        return seen.state != "ended" and self.base.picture.is_over(key[0])
+        return seen.state != "ended" and self.base.cluster_state.is_over(key[0])
 
     def _wait(self, workers: list[Worker], job_ids: frozenset[str], until_us: int) -> Fiber[None]:
         """Wait until none of these workers can start a task of these jobs."""
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -14,7 +14,7 @@
 from ashtray.kernel import SECOND_US, Fiber, Sleep
 from ashtray.peers.presence import Presence
 from ashtray.placement import compact_record
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Group
 from ashtray.placement.state_keys import GROUP, split_key
 from ashtray.runs import encode_runs
@@ -63,25 +63,25 @@
     return [*parts, ",".join(part)]
 
 
-def pieces(picture: Picture, group: Group, limits: Limits) -> list[Piece]:
+def pieces(cluster_state: ClusterState, group: Group, limits: Limits) -> list[Piece]:
     """Return a group cut into what fits: first the completed tasks, job by job, then its machines by name.
 
     A machine that is too large by itself gets a record of its own, to be written once enough of it has ended.
     """
     cut = [Piece(group)]
-    _cut_done(cut, picture, limits)
-    _cut_machines(cut, picture, limits)
+    _cut_done(cut, cluster_state, limits)
+    _cut_machines(cut, cluster_state, limits)
     return [piece for piece in cut if piece.machines or piece.done]
 
 
-def _cut_done(cut: list[Piece], picture: Picture, limits: Limits) -> None:
+def _cut_done(cut: list[Piece], cluster_state: ClusterState, limits: Limits) -> None:
     """Add the completed tasks of live jobs that have not moved yet to the last piece, and to new ones after it."""
     group = cut[-1].group
     most = int(limits.value_bytes * FULL_SHARE)
     most_of_job = int(limits.value_bytes * RUNS_SHARE)
-    moved_upto = picture.moved.get(group.key, ("", ""))[1]
+    moved_upto = cluster_state.moved.get(group.key, ("", ""))[1]
     for job_id, tasks in sorted(group.done.items()):
-        if job_id <= moved_upto or not picture.is_live(job_id):
+        if job_id <= moved_upto or not cluster_state.is_live(job_id):
             continue
         for runs in _done_parts(job_id, tasks, most_of_job):
             if job_id in cut[-1].done:
@@ -92,11 +92,11 @@
                 cut.append(Piece(group, done={job_id: runs}))
 
 
-def _cut_machines(cut: list[Piece], picture: Picture, limits: Limits) -> None:
+def _cut_machines(cut: list[Piece], cluster_state: ClusterState, limits: Limits) -> None:
     """Add the machines to the last piece, and to new ones after it."""
     group = cut[-1].group
     most = int(limits.value_bytes * FULL_SHARE)
-    count = group_size(picture.types.get(group.type), limits)
+    count = group_size(cluster_state.types.get(group.type), limits)
     for name in sorted(group.machines):
         raw = group.machines[name].raw
         cut[-1].machines[name] = raw
@@ -136,7 +136,7 @@
             yield Sleep(LOOK_US)
             return
         for group in self.due():
-            number = min(len(pieces(base.picture, group, base.limits)), base.limits.ops)
+            number = min(len(pieces(base.cluster_state, group, base.limits)), base.limits.ops)
 
             def build(key: str = group.key) -> Txn | None:
                 return self.split(key)
@@ -153,7 +153,7 @@
         base = self.base
         most = base.limits.value_bytes * SPLIT_SHARE
         groups = []
-        for group in base.picture.groups.values():
+        for group in base.cluster_state.groups.values():
             too_large = group.size > most and (len(group.machines) > 1 or group.packed is None)
             if (group.moving or too_large) and self.presence.foreman(group.key) == base.settings.host_name:
                 groups.append(group)
@@ -164,11 +164,11 @@
 
         Another one would have to take over each of them.
         """
-        presence, picture = self.presence, self.base.picture
+        presence, cluster_state = self.presence, self.base.cluster_state
         key = base
         for n in range(MOST_KEYS):
             key = f"{base}+{n}"
-            if key in taken or picture.version(key):
+            if key in taken or cluster_state.version(key):
                 continue
             if presence.foreman(key) == self.base.settings.host_name:
                 break
@@ -182,19 +182,19 @@
         None: there is nothing to be split, or a machine is too large alone and has to wait until enough has ended on
         it.
         """
-        picture, limits = self.base.picture, self.base.limits
-        group = picture.groups.get(key)
+        cluster_state, limits = self.base.cluster_state, self.base.limits
+        group = cluster_state.groups.get(key)
         if group is None or not limits.lean:
             return None
         txn = Txn().guard(key, group.version)
-        moved = self._change_old_record(txn, group, pieces(picture, group, limits))
+        moved = self._change_old_record(txn, group, pieces(cluster_state, group, limits))
         if moved is None or not self._add_new_records(txn, group, moved):
             return None
         return txn
 
     def _change_old_record(self, txn: Txn, group: Group, cut: list[Piece]) -> list[Piece] | None:
         """Add what becomes of the old record; returns the pieces for new ones, None if it would be too large."""
-        picture, limits = self.base.picture, self.base.limits
+        cluster_state, limits = self.base.cluster_state, self.base.limits
         lock = split_key(group.key)
         if not group.moving and len(cut) <= limits.ops:
             # The record keeps the last piece; in compact form that may be all of it.
@@ -202,13 +202,13 @@
             txn.guard(lock, 0).put(group.key, last.value())
             return moved if _may_be_written(last, limits) else None
         if len(cut) <= limits.ops - 2:
-            txn.guard(lock, picture.version(lock)).remove(group.key)
+            txn.guard(lock, cluster_state.version(lock)).remove(group.key)
             if group.moving:
                 txn.remove(lock)
             return cut
         moved, rest = cut[: limits.ops - 1], cut[limits.ops - 1 :]
-        mark = split_mark(moved, rest, picture.moved.get(group.key, ("", "")))
-        txn.guard(lock, picture.version(lock)).put(lock, mark)
+        mark = split_mark(moved, rest, cluster_state.moved.get(group.key, ("", "")))
+        txn.guard(lock, cluster_state.version(lock)).put(lock, mark)
         return moved
 
     def _add_new_records(self, txn: Txn, group: Group, moved: list[Piece]) -> bool:
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -20,7 +20,7 @@
 from ashtray.jobs.messages import parse_submission
 from ashtray.jobs.model import LIVE, JobRecord
 from ashtray.kernel import SECOND_US, Answer, Call, Fiber, Output, Reply, Send
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP, TYPES
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers.folding import Evidence, Fold
@@ -352,7 +352,7 @@
 
 def group_record(machine: str, holds: dict[str, str], done: dict[str, str] | None = None) -> Any:
     """A group of one machine, with the tasks that it holds and those that completed there, by job."""
-    room = [HoldRecord(job_id, 1, tasks, "crew", 2.0, 0.0, 4.0, BEGIN_US) for job_id, tasks in holds.items()]
+    room = [AllocationRecord(job_id, 1, tasks, "crew", 2.0, 0.0, 4.0, BEGIN_US) for job_id, tasks in holds.items()]
     record = MachineRecord(f"{machine}:1", token=TOKEN, holds=room)
     return msgspec.to_builtins(GroupRecord("small", "a", {machine: record}, done or {}))
 
@@ -370,19 +370,19 @@
 
 def fold_task(core: Controller, task: int) -> Txn | None:
     """What the owner of a machine writes once the task there has ended as done."""
-    name, group = f"vm-{task}", core.picture.groups[f"{GROUP}g{task}"]
+    name, group = f"vm-{task}", core.cluster_state.groups[f"{GROUP}g{task}"]
     tasks = {(JOB, 1, task): TaskState("ended", "done")}
     report = Report(name, f"{name}:1", "small", "a", False, 1, 9, TOKEN, None, tasks)
-    fold = Fold(core.kernel, core.picture, core.limits)
+    fold = Fold(core.kernel, core.cluster_state, core.limits)
     fold.add(group, [name], {name: Evidence(report, TOKEN, True)})
     return fold.transaction()
 
 
 def sign_machine(core: Controller, task: int) -> Txn | None:
     """What the owner of a machine writes when it takes it over: nothing about tasks."""
-    name, group = f"vm-{task}", core.picture.groups[f"{GROUP}g{task}"]
+    name, group = f"vm-{task}", core.cluster_state.groups[f"{GROUP}g{task}"]
     report = Report(name, f"{name}:1", "small", "a", False, 1, 9, TOKEN + 1, None, {})
-    fold = Fold(core.kernel, core.picture, core.limits)
+    fold = Fold(core.kernel, core.cluster_state, core.limits)
     fold.add(group, [name], {name: Evidence(report, TOKEN + 1, True)})
     return fold.transaction()
 
--- a/tests/meeting_model.py
+++ b/tests/meeting_model.py
@@ -145,7 +145,7 @@
         """The controller that may give orders to a machine: both know its token, which is the record's as well."""
         for host in self.live():
             worker = host.core.desk.workers.get(name)
-            machine = host.core.picture.machines.get(name)
+            machine = host.core.cluster_state.machines.get(name)
             if worker is None or machine is None or worker.token != self.workers[name].token:
                 continue
             if host.core.desk._owns(worker, machine) and host.halted_until <= self.now:
--- a/tests/mutants/answers.py
+++ b/tests/mutants/answers.py
@@ -6,7 +6,7 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "done-not-read-is-answered": (
         STATES,
-        "if picture.all_done(job):",
+        "if cluster_state.all_done(job):",
         "if False:",
     ),
     "shown-into-a-reload": (
@@ -22,7 +22,7 @@
     ),
     "cancelled-whatever-its-groups-say": (
         "ashtray/jobs/cancelling.py",
-        "                txn.guard(key, picture.groups[key].version)",
+        "                txn.guard(key, cluster_state.groups[key].version)",
         "                pass",
     ),
     "accepted-although-it-is-over": (
@@ -32,7 +32,7 @@
     ),
     "judged-before-the-types-are-known": (
         "ashtray/jobs/submitting.py",
-        "if not self.base.picture.types:",
+        "if not self.base.cluster_state.types:",
         "if False:",
     ),
 }
--- a/tests/mutants/close_looks.py
+++ b/tests/mutants/close_looks.py
@@ -7,7 +7,7 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "refused-before-all-types-are-written": (
         SUBMITTING,
-        "if reason == NO_TYPE_FITS and not self.base.picture.types_complete:",
+        "if reason == NO_TYPE_FITS and not self.base.cluster_state.types_complete:",
         "if False:",
     ),
     "all-types-said-first": (TYPES, "for key in records if key != TYPES and", "for key in records if"),
@@ -32,7 +32,7 @@
         "if not (yield from self.base.follower.barrier(patient=True)):",
         "if False:",
     ),
-    "absent-across-a-reload": (STATES, " followed and picture.loads == loads:", " followed:"),
+    "absent-across-a-reload": (STATES, " followed and cluster_state.loads == loads:", " followed:"),
     "unreadable-forwarded-request-is-unknown": (
         "ashtray/controller.py",
         'self.kernel.answer(request_id, 503, {"error": "the forwarded request cannot be read"}, 1)',
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -12,7 +12,7 @@
     ),
     "most-of-the-fleet-is-believed-silent": (
         REVIEW,
-        "if len(silent) > max(FEW_MACHINES, len(self.base.picture.machines) // 2):",
+        "if len(silent) > max(FEW_MACHINES, len(self.base.cluster_state.machines) // 2):",
         "if False:",
     ),
     "told-silence-is-not-passed-on": (
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -28,7 +28,7 @@
     "cancellations-do-not-settle-at-peers": (
         "ashtray/controller.py",
         "settled = yield from self.desk.delivery.settle(cancelled)",
-        "settled = list(self.picture.machines); yield from ()",
+        "settled = list(self.cluster_state.machines); yield from ()",
     ),
     "starts-underway-are-forgotten": (
         WORKER,
--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -26,8 +26,8 @@
     ),
     "placed-again-after-a-lost-answer": (
         "ashtray/placement/placer.py",
-        "if picture.finished(job) & tasks or picture.placed(job.id) & tasks:",
-        "if picture.finished(job) & tasks:",
+        "if cluster_state.finished(job) & tasks or cluster_state.placed(job.id) & tasks:",
+        "if cluster_state.finished(job) & tasks:",
     ),
     "accepted-after-its-end": (
         "ashtray/jobs/accepting.py",
@@ -36,17 +36,17 @@
     ),
     "late-adoption-into-a-new-group": (
         "ashtray/workers/folding.py",
-        "txn = Txn().guard(lock, picture.version(lock)).put(lock, picture.version(lock))",
-        "txn = Txn().put(lock, picture.version(lock))",
+        "txn = Txn().guard(lock, cluster_state.version(lock)).put(lock, cluster_state.version(lock))",
+        "txn = Txn().put(lock, cluster_state.version(lock))",
     ),
     "late-taking-of-the-fleet": (
         "ashtray/fleet/fleet_lease.py",
-        "txn = Txn().guard(FLEET, self.base.picture.version(FLEET))",
+        "txn = Txn().guard(FLEET, self.base.cluster_state.version(FLEET))",
         "txn = Txn()",
     ),
     "late-share": (
         "ashtray/teams/grants.py",
-        "txn.guard(key, self.picture.version(key)).put(key, self._shares(name))",
+        "txn.guard(key, self.cluster_state.version(key)).put(key, self._shares(name))",
         "txn.put(key, self._shares(name))",
     ),
     "given-up-for-ever": (DECOMMISSIONING, "        self._keep_adopted()\n", ""),
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -15,7 +15,7 @@
     "old-reports-count-as-heard": (DESK, "        if met or worker.exact:\n", "        if True:\n"),
     "small-jobs-done-only-once-moved": (
         "ashtray/jobs/states.py",
-        "if job.id in picture.completed():",
+        "if job.id in cluster_state.completed():",
         "if False:",
     ),
     "versions-of-what-is-over-kept": (CLUSTER_STATE, "        self._versions.pop(key, None)\n", ""),
--- a/tests/mutants/ownership.py
+++ b/tests/mutants/ownership.py
@@ -8,10 +8,10 @@
     "former-owner-frees": (FOLDING, "    if record.token > evidence.token:\n", "    if False:\n"),
     "cancelled-use-is-free": (
         GRANTS,
-        "used = self.picture.team_usage(name, host)\n        within",
-        "lingering = [hold for machine in self.picture.machines.values() for hold in machine.holds"
-        " if hold.job not in self.picture.jobs and (hold.record.by, hold.record.team) == (host, name)]\n"
-        "        used = self.picture.team_usage(name, host)\n"
+        "used = self.cluster_state.team_usage(name, host)\n        within",
+        "lingering = [hold for machine in self.cluster_state.machines.values() for hold in machine.holds"
+        " if hold.job not in self.cluster_state.jobs and (hold.record.by, hold.record.team) == (host, name)]\n"
+        "        used = self.cluster_state.team_usage(name, host)\n"
         "        used = (used[0] - sum(len(hold.tasks) * hold.record.cpus for hold in lingering),"
         " used[1] - sum(len(hold.tasks) * hold.record.gpus for hold in lingering))\n        within",
     ),
@@ -20,7 +20,11 @@
         "max(shares.get(host, (0.0, 0.0))[n], used[host][n]) for host in others",
         "shares.get(host, (0.0, 0.0))[n] for host in others",
     ),
-    "small-rest-is-kept": (GRANTS, "idle = pressed or unused < wants[host].least[n] - EPS", "idle = pressed"),
+    "small-rest-is-kept": (
+        GRANTS,
+        "idle = pressed or unused < wants[host].least[n] - AMOUNT_TOLERANCE",
+        "idle = pressed",
+    ),
     "silent-within-its-lease": (REVIEW, "if us > self._lease_us + SILENT_US}", "if us > self._lease_us // 3}"),
     "others-jobs-keep-room-beyond-their-share": (
         "ashtray/placement/placer.py",
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -75,23 +75,23 @@
     ),
     "job-not-guarded": (PLACER, "txn.guard(LIVE + job.id, job.version).put(", "txn.put("),
     "groups-not-guarded": (GROUP_EDIT, "        txn.guard(group.key, group.version)\n", ""),
-    "team-not-guarded": (PLACER, "txn.guard(TEAM + name, picture.version(TEAM + name))", "pass"),
+    "team-not-guarded": (PLACER, "txn.guard(TEAM + name, cluster_state.version(TEAM + name))", "pass"),
     "share-taken-at-once": (
         GRANTS,
         "sum(max(shares.get(host, (0.0, 0.0))[n], used[host][n]) for host in others)",
         "sum(used[host][n] for host in others)",
     ),
-    "shares-on-an-unread-picture": (GRANTS, "if self._read < self.picture.version(key):", "if False:"),
+    "shares-on-an-unread-cluster-state": (GRANTS, "if self._read < self.cluster_state.version(key):", "if False:"),
     "placing-without-a-fence": (GRANTS, "if name not in self._fenced:", "if False:"),
     "old-fence-counts": (
         GRANTS,
-        "if above < self.picture.version(TEAM + name) <= revision:",
-        "if 0 < self.picture.version(TEAM + name) <= revision:",
+        "if above < self.cluster_state.version(TEAM + name) <= revision:",
+        "if 0 < self.cluster_state.version(TEAM + name) <= revision:",
     ),
     "fence-not-followed": (
         GRANTS,
-        "if above < self.picture.version(TEAM + name) <= revision:",
-        "if above < self.picture.version(TEAM + name):",
+        "if above < self.cluster_state.version(TEAM + name) <= revision:",
+        "if above < self.cluster_state.version(TEAM + name):",
     ),
     "nothing-ages": (ORDER, "return -1 if self.aged or self.begins else self.missed", "return self.missed"),
     "bands-across-teams": (
@@ -107,13 +107,13 @@
     ),
     "claims-not-guarded": (
         "ashtray/teams/guarantees.py",
-        "txn.guard(CLAIM + team, picture.version(CLAIM + team)).put(CLAIM + team, value)",
+        "txn.guard(CLAIM + team, cluster_state.version(CLAIM + team)).put(CLAIM + team, value)",
         "txn.put(CLAIM + team, value)",
     ),
     "excess-not-counted": (
         "ashtray/teams/guarantees.py",
-        "if cpus > max(left[0], 0.0) + EPS or gpus > max(left[1], 0.0) + EPS:",
-        "if left[0] <= EPS and left[1] <= EPS:",
+        "if cpus > max(left[0], 0.0) + AMOUNT_TOLERANCE or gpus > max(left[1], 0.0) + AMOUNT_TOLERANCE:",
+        "if left[0] <= AMOUNT_TOLERANCE and left[1] <= AMOUNT_TOLERANCE:",
     ),
     "stopping-counts-as-used": ("ashtray/teams/guarantees.py", "if hold.record.stop_us >= 0:", "if False:"),
     "stopped-at-the-limit": (
@@ -197,7 +197,7 @@
     ),
     "tables-grow-for-ever": (
         "ashtray/placement/compact_record.py",
-        "return len(self.kinds) + len(self.images) > used + used // 4 + SPARE",
+        "return len(self.kinds) + len(self.images) > used + used // 4 + SPARE_ENTRIES",
         "return False",
     ),
     "an-address-in-use-ends-it": (
@@ -227,7 +227,7 @@
     ),
     "adopted-twice": (
         FOLDING,
-        "txn = Txn().guard(lock, picture.version(lock)).put(lock, picture.version(lock))",
+        "txn = Txn().guard(lock, cluster_state.version(lock)).put(lock, cluster_state.version(lock))",
         "txn = Txn()",
     ),
     "loaded-after-the-pages": (FOLLOWER, "self._paged = True", "self._paged = self.loaded = True"),
@@ -245,8 +245,8 @@
     "accept-without-look": ("ashtray/jobs/accepting.py", ".guard(OVER + job.job_id, 0).put(", ".put("),
     "stopped-holds-hide": (
         GROUP_INDEX,
-        "self.held.setdefault(hold.job, {})[(name, n)] = hold",
-        "self.held.setdefault(hold.job, {})[(name, hold.attempt)] = hold",
+        "self.allocations.setdefault(hold.job, {})[(name, n)] = hold",
+        "self.allocations.setdefault(hold.job, {})[(name, hold.attempt)] = hold",
     ),
     "silence-while-halted": (
         INVENTORY,
@@ -268,7 +268,7 @@
     "mistakes-condemn": (MACHINE_HEALTH, "return NO_BLAME if job.suspect else HALF_BLAME", "return HALF_BLAME"),
     "done-may-be-cancelled": (
         CANCELLING,
-        "                txn.guard(key, picture.groups[key].version)",
+        "                txn.guard(key, cluster_state.groups[key].version)",
         "                pass",
     ),
     "every-question-reads": (CLUSTER_STATE, "        self.absent[job_id] = None\n", "        pass\n"),
@@ -292,7 +292,7 @@
     ),
     "lean-form-too-early": (
         "ashtray/controller.py",
-        "self.presence.upgraded() or self.picture.lean or self.store.refused",
+        "self.presence.upgraded() or self.cluster_state.lean or self.store.refused",
         "True",
     ),
     "older-one-not-asked": (
@@ -304,7 +304,7 @@
     "moved-machines-count": (GROUP_INDEX, "            if name <= moved_upto:\n", "            if False:\n"),
     "split-not-marked": (
         "ashtray/workers/splitting.py",
-        "txn.guard(lock, picture.version(lock)).put(lock, mark)",
+        "txn.guard(lock, cluster_state.version(lock)).put(lock, mark)",
         "pass",
     ),
     "record-grows-for-ever": (
@@ -319,7 +319,7 @@
         "        if version > self.upto:\n            self._gone[key] = version\n",
         "",
     ),
-    "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, picture.version(lock))", "pass"),
+    "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, cluster_state.version(lock))", "pass"),
     "notice-taken-for-nothing-new": (DESK, "worker.quiet if report.notice_us is None else None", "worker.quiet"),
     "alone-keeps-its-workers": (
         "ashtray/peers/presence.py",
@@ -356,7 +356,9 @@
     "groups-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
     "team-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
     "share-taken-at-once": ["tests/test_grants.py"],
-    "shares-on-an-unread-picture": ["tests/test_grants.py::test_two_changes_of_the_shares_need_a_look_between_them"],
+    "shares-on-an-unread-cluster-state": [
+        "tests/test_grants.py::test_two_changes_of_the_shares_need_a_look_between_them"
+    ],
     "placing-without-a-fence": ["tests/test_grants.py::test_nothing_is_placed_before_the_fence_nor_after_a_doubt"],
     "old-fence-counts": ["tests/test_grants.py::test_one_fence_serves_all_controllers_that_start_together"],
     "fence-not-followed": ["tests/test_grants.py::test_a_fence_counts_once_the_picture_is_read_up_to_it"],
--- a/tests/mutants/transactions.py
+++ b/tests/mutants/transactions.py
@@ -10,7 +10,7 @@
     "accepted-twice": (ACCEPTING, "txn.guard(LIVE + job.job_id, 0).guard(", "txn.guard("),
     "presence-gone-unseen": (
         "ashtray/peers/presence.py",
-        "return read and self.base.settings.host_name not in self.base.picture.controllers",
+        "return read and self.base.settings.host_name not in self.base.cluster_state.controllers",
         "return False",
     ),
     "late-end-of-what-is-over": (
@@ -20,7 +20,7 @@
     ),
     "late-intent-replaces-a-newer-one": (
         PROVISIONING,
-        "txn = Txn().guard(RENTALS, self.base.picture.version(RENTALS)).put(RENTALS, value)",
+        "txn = Txn().guard(RENTALS, self.base.cluster_state.version(RENTALS)).put(RENTALS, value)",
         "txn = Txn().put(RENTALS, value)",
     ),
     "fold-counted-twice": (
@@ -37,7 +37,7 @@
     ),
     "fold-read-before-doubt": (
         ESTIMATE_STORE,
-        "if base.picture.version(self.key(shard)) > self._unanswered[shard].version:",
+        "if base.cluster_state.version(self.key(shard)) > self._unanswered[shard].version:",
         "if False:",
     ),
 }
