--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -176,12 +176,12 @@
     # Nor is a machine that was deleted since adopted again.
     model.cloud.end(model.now, name, "deleted")
     model.run(60)
-    machines = len(model.hosts[0].core.picture.machines)
-    assert name not in model.hosts[0].core.picture.machines
+    machines = len(model.hosts[0].core.cluster_state.machines)
+    assert name not in model.hosts[0].core.cluster_state.machines
     for host in model.hosts:
         model.copy_arrives(name, host.number, copy)
     model.run(40)
-    assert name not in model.hosts[0].core.picture.machines or machines == 0
+    assert name not in model.hosts[0].core.cluster_state.machines or machines == 0
 
 
 def test_a_machine_that_is_back_at_once_with_its_session_from_the_start_is_used_again():
@@ -302,18 +302,18 @@
     model.submit(submission("job-0", shape="service", pieces=22, crew="free", hulls=["small"], urgency="urgent"))
     model.run(25)
     idle = {"crew": "free", "hulls": ["small"], "urgency": "idle", "expect_s": 20.0}
-    picture = model.hosts[0].core.picture
+    cluster_state = model.hosts[0].core.cluster_state
     for n in range(2, 60):
         # The third finds no room any more.
         job = submission(f"job-{n if n != 5 else 1}", pieces=1 if n != 5 else 40, **idle)
         model.at((n - 2) * SECOND, lambda job=job: model.submit(job))
     for _ in range(300):
         model.run(0.2)
-        if picture.placed("job-1"):
+        if cluster_state.placed("job-1"):
             break
-    assert len({name for name, _ in picture.held["job-1"]}) == 1
+    assert len({name for name, _ in cluster_state.allocations["job-1"]}) == 1
     # Smaller ones, which go first by what they need, wait still.
-    assert set(picture.waiting()) - {"job-1"}
+    assert set(cluster_state.waiting()) - {"job-1"}
 
 
 # Controllers that are slow
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -10,10 +10,10 @@
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.kernel import Answer
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.machine_health import SICK
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.machine_health import SICK_BLAME
 from ashtray.placement.plan import Plan, back_off_us, queue
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import GROUP, SPLIT
 from ashtray.store.client import Limits
 from tests.model import LEASE_S, Model, submission
@@ -141,14 +141,14 @@
 
 def blamed(**jobs) -> int:
     """The blame of a machine on which all these jobs failed."""
-    picture = Picture()
+    cluster_state = ClusterState()
     for name, value in jobs.items():
         key = name.replace("_", "-")
-        picture.put((OVER if "status" in value else LIVE) + key, value, 1)
+        cluster_state.put((OVER if "status" in value else LIVE) + key, value, 1)
     failed = [name.replace("_", "-") for name in jobs]
     record = GroupRecord("small", "a", {"vm-1": MachineRecord("vm-1:1", failed=failed)})
-    picture.put(GROUP + "g", msgspec.to_builtins(record), 2)
-    return picture.blame(picture.machines["vm-1"])
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(record), 2)
+    return cluster_state.blame(cluster_state.machines["vm-1"])
 
 
 def test_jobs_with_a_mistake_condemn_no_machine_and_sick_machines_are_found_all_the_same():
@@ -157,23 +157,23 @@
     assert blamed(job_1=broken, job_2=broken, job_3=broken, job_4=cancelled, job_5=cancelled) == 0
     # Failed here only so far: not enough by itself.
     fresh = job(errors=1, failed_on=["vm-1"])
-    assert blamed(job_1=fresh, job_2=fresh) < SICK <= blamed(job_1=fresh, job_2=fresh, job_3=fresh)
+    assert blamed(job_1=fresh, job_2=fresh) < SICK_BLAME <= blamed(job_1=fresh, job_2=fresh, job_3=fresh)
     # Jobs that work elsewhere say more.
     works = job(errors=1, failed_on=["vm-1"], finished="0")
     done = {"status": "done", "done": 4}
-    assert blamed(job_1=works, job_2=broken, job_3=done) >= SICK
+    assert blamed(job_1=works, job_2=broken, job_3=done) >= SICK_BLAME
 
 
 def test_a_job_that_fails_everywhere_backs_off_tries_one_task_and_goes_last():
-    picture = Picture()
-    picture.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
-    picture.put(LIVE + "job-1", job(errors=4, failed_on=["vm-1", "vm-2"], error_us=0), 1)
-    picture.put(LIVE + "job-2", job(), 2)
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
-    bad = picture.jobs["job-1"]
+    cluster_state = ClusterState()
+    cluster_state.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
+    cluster_state.put(LIVE + "job-1", job(errors=4, failed_on=["vm-1", "vm-2"], error_us=0), 1)
+    cluster_state.put(LIVE + "job-2", job(), 2)
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
+    bad = cluster_state.jobs["job-1"]
     assert plan.wanted(bad, 10 * SECOND) == [] and back_off_us(bad) > 10 * SECOND
     assert plan.wanted(bad, 100 * SECOND) == [0]
-    assert [j.id for j in queue(picture, {})[0]] == ["job-2", "job-1"]
+    assert [j.id for j in queue(cluster_state, {})[0]] == ["job-2", "job-1"]
 
 
 def test_no_machine_is_returned_for_mistaken_jobs_and_their_end_is_told():
@@ -191,10 +191,10 @@
 
 
 def test_machines_that_are_late_together_are_waited_for_and_one_that_was_overtaken_is_not():
-    picture = Picture()
-    picture.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 20 * SECOND, ("a",))}
+    cluster_state = ClusterState()
+    cluster_state.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 20 * SECOND, ("a",))}
     kind = MachineKind("small", "a", False)
-    boot_times = BootTimes(picture, 2.5)
+    boot_times = BootTimes(cluster_state, 2.5)
     late = 70 * SECOND
     assert boot_times.remaining_us(kind, 0, late) is None and not boot_times.hopeless(kind, 0, late)
     # Not for ever, though.
@@ -235,10 +235,10 @@
     model = settled()
     core = model.hosts[0].core
     model.submit(submission("job-1", pieces=2, crew="free", expect_s=9.0))
-    while "job-1" not in core.picture.held:
+    while "job-1" not in core.cluster_state.allocations:
         model.run(0.1)
     txn = core.jobs.cancelling.transaction("job-1")
-    groups = {core.picture.machines[name].group for name, _ in core.picture.held["job-1"]}
+    groups = {core.cluster_state.machines[name].group for name, _ in core.cluster_state.allocations["job-1"]}
     assert groups and groups <= set(txn.guards)
     # One that is being split is not changed itself while its machines are moved, and folded, elsewhere.
     locks = {SPLIT + key[len(GROUP) :] for key in groups}
@@ -248,16 +248,16 @@
 
 
 def test_a_swarm_of_single_tasks_is_ranked_once():
-    picture = Picture()
-    picture.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
+    cluster_state = ClusterState()
+    cluster_state.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
     machines = {f"vm-{n}": MachineRecord("x:1") for n in range(50)}
-    picture.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", machines)), 1)
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", machines)), 1)
     rng = random.Random(2)
     for n in range(200):
         spec = JobSpec("swarm", "crew", "array", 3, 1, rng.uniform(0.26, 0.49), 0.0, 0.8, "img", 1.0)
-        picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
-    placed = [plan.place(job, 1, 0.0) for job in queue(picture, {})[0]]
+        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
+    placed = [plan.place(job, 1, 0.0) for job in queue(cluster_state, {})[0]]
     assert all(placed)
     assert plan.visits <= 2 * 50
     # Nothing is overfilled, and few machines are used.
@@ -266,7 +266,9 @@
 
 
 def test_a_hold_of_a_swarm_is_small_enough_for_its_group():
-    record = HoldRecord("job-123456", 1, "0", "archive-guild", 0.25, 0.0, 0.9, 1_764_600_000_000_000, by="berth-0")
+    record = AllocationRecord(
+        "job-123456", 1, "0", "archive-guild", 0.25, 0.0, 0.9, 1_764_600_000_000_000, by="berth-0"
+    )
     assert len(msgspec.json.encode(record)) < 110
 
 
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -6,11 +6,11 @@
 import pytest
 
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_index import GroupIndex
-from ashtray.placement.machine_groups import Hold, reuse_holds
-from ashtray.placement.machine_health import SICK
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.machine_groups import Allocation, reuse_allocations
+from ashtray.placement.machine_health import SICK_BLAME
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.placement.task_index import unplaced_tasks
 from ashtray.placement.team_usage import TeamUsage
@@ -18,18 +18,18 @@
 SPEC = JobSpec("pages", "crew", "array", 2, 10, 1.5, 0.5, 4.0, "img", 1.0)
 
 
-def hold(tasks: str = "0-2", job: str = "job-1", by: str = "h0") -> HoldRecord:
-    return HoldRecord(job, 1, tasks, "crew", 1.5, 0.5, 4.0, 5, by=by)
+def hold(tasks: str = "0-2", job: str = "job-1", by: str = "h0") -> AllocationRecord:
+    return AllocationRecord(job, 1, tasks, "crew", 1.5, 0.5, 4.0, 5, by=by)
 
 
-def group(*holds: HoldRecord, failed: tuple[str, ...] = ()) -> dict:
+def group(*holds: AllocationRecord, failed: tuple[str, ...] = ()) -> dict:
     machine = MachineRecord("vm:1", token=7, failed=list(failed), holds=list(holds))
     return msgspec.to_builtins(GroupRecord("small", "a", {"vm": machine}))
 
 
 def test_known_allocations_are_taken_over_each_once():
-    known = [Hold(hold()), Hold(hold("3"))]
-    holds = reuse_holds([hold("3"), hold(), hold()], known)
+    known = [Allocation(hold()), Allocation(hold("3"))]
+    holds = reuse_allocations([hold("3"), hold(), hold()], known)
     assert holds[0] is known[1] and holds[1] is known[0]
     assert holds[2] is not known[0] and holds[2].record == known[0].record
 
@@ -42,7 +42,7 @@
     changed.clear()
     index.put_group(GROUP + "g", group(*[hold()] * after), 2)
     assert changed == ["job-1"] * abs(after - before)
-    assert len(index.held.get("job-1", ())) == after
+    assert len(index.allocations.get("job-1", ())) == after
     assert index.usage.of("crew") == index.usage.of("crew", "h0") == (3 * 1.5 * after, 3 * 0.5 * after)
 
 
@@ -51,7 +51,7 @@
     amounts = [0.1 * n for n in range(1, 40)]
     for sign in (1, -1):
         for n, cpus in enumerate(amounts):
-            record = HoldRecord("job-1", 1, "0", "crew", cpus, cpus / 3, 1.0, 5, by=f"h{n % 3}")
+            record = AllocationRecord("job-1", 1, "0", "crew", cpus, cpus / 3, 1.0, 5, by=f"h{n % 3}")
             usage.add(record, sign * (n + 1))
     assert [usage.of("crew", by) for by in (None, "h0", "h1", "h2")] == [(0.0, 0.0)] * 4
     assert usage.of("free") == (0.0, 0.0)
@@ -66,8 +66,8 @@
         ({"job-1": "works"}, 2),
         ({"job-1": "failed here only"}, 1),
         ({"job-1": "fails elsewhere"}, 0),
-        ({"job-1": "works", "job-2": "failed here only"}, SICK),
-        ({f"job-{n}": "failed here only" for n in range(3)}, SICK),
+        ({"job-1": "works", "job-2": "failed here only"}, SICK_BLAME),
+        ({f"job-{n}": "failed here only" for n in range(3)}, SICK_BLAME),
         ({f"job-{n}": "fails elsewhere" for n in range(9)}, 0),
     ],
 )
@@ -77,14 +77,14 @@
         "failed here only": JobRecord(SPEC, "h0", 5, errors=1, failed_on=["vm"]),
         "fails elsewhere": JobRecord(SPEC, "h0", 5, errors=2, failed_on=["vm", "vm-2"]),
     }
-    picture = Picture()
-    picture.put(GROUP + "g", group(failed=tuple(jobs)), 1)
+    cluster_state = ClusterState()
+    cluster_state.put(GROUP + "g", group(failed=tuple(jobs)), 1)
     for job_id, state in jobs.items():
         if state in records:
-            picture.put(LIVE + job_id, msgspec.to_builtins(records[state]), 2)
+            cluster_state.put(LIVE + job_id, msgspec.to_builtins(records[state]), 2)
         elif state != "unknown":
-            picture.put(OVER + job_id, {"status": state, "done": 0, "at_us": 5}, 2)
-    assert picture.blame(picture.machines["vm"]) == blame
+            cluster_state.put(OVER + job_id, {"status": state, "done": 0, "at_us": 5}, 2)
+    assert cluster_state.blame(cluster_state.machines["vm"]) == blame
 
 
 @pytest.mark.parametrize(
@@ -103,7 +103,7 @@
     kind: str, attempt: int, portion: int, placed: set[int], finished: set[int], unplaced: list[int]
 ):
     spec = msgspec.structs.replace(SPEC, kind=kind)
-    picture = Picture()
+    cluster_state = ClusterState()
     record = JobRecord(spec, "h0", 5, attempt, portion=portion)
-    picture.put(LIVE + "job-1", msgspec.to_builtins(record), 1)
-    assert unplaced_tasks(picture.jobs["job-1"], placed, finished) == unplaced
+    cluster_state.put(LIVE + "job-1", msgspec.to_builtins(record), 1)
+    assert unplaced_tasks(cluster_state.jobs["job-1"], placed, finished) == unplaced
--- a/tests/test_decommissioning.py
+++ b/tests/test_decommissioning.py
@@ -48,13 +48,13 @@
     held = {task for task, where in model.on.items() if name in where}
     model.run(40)
     # The machine was found silent and drained, and its deletion was tried and refused.
-    pictures = [host.core.picture for host in model.hosts]
+    cluster_states = [host.core.cluster_state for host in model.hosts]
     assert cloud.refused > 0
-    assert all(picture.machines[name].record.retiring for picture in pictures)
-    assert all(picture.machines[name].holds for picture in pictures)
+    assert all(cluster_state.machines[name].record.retiring for cluster_state in cluster_states)
+    assert all(cluster_state.machines[name].holds for cluster_state in cluster_states)
     cloud.refuses = False
     model.run(40)
-    assert all(name not in picture.machines for picture in pictures)
+    assert all(name not in cluster_state.machines for cluster_state in cluster_states)
     assert name in model.cloud.deleted
     elsewhere = {task for task, where in model.on.items() if where.keys() - {name}}
     assert {number for _, number in held} <= {number for _, number in elsewhere}
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -5,28 +5,28 @@
 import pytest
 
 from ashtray.jobs.model import OVER, Job
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from tests.test_pipelines import put
 
 
-def child_of(need: str) -> tuple[Picture, Job]:
+def child_of(need: str) -> tuple[ClusterState, Job]:
     """A job that needs one of which neither a live record nor a final state was read."""
-    picture = Picture()
-    put(picture, "job-1", 2, needs=[need])
-    return picture, picture.jobs["job-1"]
+    cluster_state = ClusterState()
+    put(cluster_state, "job-1", 2, needs=[need])
+    return cluster_state, cluster_state.jobs["job-1"]
 
 
 def test_a_needed_job_that_is_not_known_counts_as_open_and_is_to_be_read() -> None:
-    picture, child = child_of("job-0")
-    assert picture.dependencies.open(child) == ["job-0"]
-    assert not picture.dependencies.ready(child)
-    assert picture.dependencies.unknown() == ["job-0"]
+    cluster_state, child = child_of("job-0")
+    assert cluster_state.dependencies.open(child) == ["job-0"]
+    assert not cluster_state.dependencies.ready(child)
+    assert cluster_state.dependencies.unknown() == ["job-0"]
 
 
 @pytest.mark.parametrize(("status", "ready"), [("done", True), ("cancelled", False)])
 def test_once_its_end_was_read_a_job_is_ready_or_cancelled_with_it(status: str, ready: bool) -> None:
-    picture, child = child_of("job-0")
-    picture.put(OVER + "job-0", {"status": status, "done": 1, "at_us": 5}, 3)
-    assert picture.dependencies.ready(child) == ready
-    assert ("job-1" in picture.dependencies.cancelled_by) == (not ready)
-    assert picture.dependencies.unknown() == []
+    cluster_state, child = child_of("job-0")
+    cluster_state.put(OVER + "job-0", {"status": status, "done": 1, "at_us": 5}, 3)
+    assert cluster_state.dependencies.ready(child) == ready
+    assert ("job-1" in cluster_state.dependencies.cancelled_by) == (not ready)
+    assert cluster_state.dependencies.unknown() == []
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -11,11 +11,11 @@
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.minimum_share import SHARE, MinimumShare
 from ashtray.placement.plan import queue
 from ashtray.placement.queue_order import StatedTimes
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 
 AIMS = [Objective("wait", "pages", 30.0, 0.65), Objective("wait", "pages", 150.0, 0.995)]
@@ -25,24 +25,24 @@
 
 @dataclass
 class Day:
-    """A picture to which jobs come, and what one controller makes of it."""
+    """A cluster state to which jobs come, and what one controller makes of it."""
 
     def __post_init__(self) -> None:
-        self.picture = Picture()
+        self.cluster_state = ClusterState()
         pace = Pace(AIMS, 6.0)
         self.times = StatedTimes(AIMS, pace)
-        self.floor = MinimumShare(self.picture, pace)
+        self.floor = MinimumShare(self.cluster_state, pace)
         self.now_us = START_US
         self.version = 0
         self.order()
 
     def order(self) -> list[str]:
-        found, _ = queue(self.picture, {}, self.times, self.now_us, self.floor)
+        found, _ = queue(self.cluster_state, {}, self.times, self.now_us, self.floor)
         return [job.id.removeprefix("job-") for job in found]
 
     def put(self, key: str, value: object) -> None:
         self.version += 1
-        self.picture.put(key, msgspec.to_builtins(value), self.version)
+        self.cluster_state.put(key, msgspec.to_builtins(value), self.version)
 
     def come(self, name: str, job_class: str = "panels", tasks: int = 2, **over: object) -> None:
         gang = job_class == "pages"
@@ -63,14 +63,14 @@
         self.put(f"{LIVE}job-{name}", msgspec.structs.replace(record, **over))
 
     def place(self, name: str) -> None:
-        job = self.picture.jobs[f"job-{name}"]
-        hold = HoldRecord(job.id, 1, f"0-{job.spec.tasks - 1}", job.spec.team, 1.0, 0.0, 1.0, self.now_us)
+        job = self.cluster_state.jobs[f"job-{name}"]
+        hold = AllocationRecord(job.id, 1, f"0-{job.spec.tasks - 1}", job.spec.team, 1.0, 0.0, 1.0, self.now_us)
         self.put(f"{GROUP}{name}", GroupRecord("m", "z", {f"vm-{name}": MachineRecord("x", holds=[hold])}))
 
     def end(self, name: str, status: str = "done") -> None:
         self.version += 1
-        self.picture.put(f"{OVER}job-{name}", {"status": status, "done": 0, "at_us": self.now_us}, self.version)
-        self.picture.remove(f"{LIVE}job-{name}", self.version)
+        self.cluster_state.put(f"{OVER}job-{name}", {"status": status, "done": 0, "at_us": self.now_us}, self.version)
+        self.cluster_state.remove(f"{LIVE}job-{name}", self.version)
 
     def wait(self, seconds: float) -> None:
         self.now_us += int(seconds * SECOND_US)
@@ -144,7 +144,7 @@
     day = pressed(5, 3)
     assert not day.floor.due(day.now_us)
     day.version += 1
-    day.picture.remove(f"{GROUP}p00", day.version)
+    day.cluster_state.remove(f"{GROUP}p00", day.version)
     day.wait(2)
     assert day.floor.due(day.now_us) == {("reader", "panels"): 1}
 
@@ -162,10 +162,12 @@
     # What was served before is not read at a start: nobody may be called unserved for that.
     day = pressed(10, 0)
     assert day.floor.due(day.now_us)
-    keys = {f"{LIVE}{job.id}": (msgspec.to_builtins(job.record), job.version) for job in day.picture.jobs.values()}
-    day.picture.clear()
+    keys = {
+        f"{LIVE}{job.id}": (msgspec.to_builtins(job.record), job.version) for job in day.cluster_state.jobs.values()
+    }
+    day.cluster_state.clear()
     for key, (value, version) in keys.items():
-        day.picture.put(key, value, version)
+        day.cluster_state.put(key, value, version)
     day.wait(2)
     assert day.order()[:2] == ["new", "old"]
     day.come("late")
@@ -194,6 +196,6 @@
 def test_what_the_floor_placed_is_not_stopped_for_what_is_too_late() -> None:
     day = pressed(10, 3)
     day.order()
-    jobs = day.picture.jobs
+    jobs = day.cluster_state.jobs
     assert day.floor.spared(jobs["job-old"]) == {("reader", "panels")}
     assert day.floor.spared(jobs["job-new"]) == frozenset()
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -12,9 +12,9 @@
 from ashtray.jobs.messages import Malformed, parse_submission
 from ashtray.jobs.model import Job, JobRecord
 from ashtray.placement import compact_record
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.group_edit import Edit
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.group_edit import GroupEdit
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn
@@ -232,7 +232,9 @@
         token,
         images=[(f"img-{n}", n + 0.5) for n in dict.fromkeys(images)],
         holds=[
-            HoldRecord(f"job-{job:06}", attempt, "0-2", team, cpus, 0.0, 4.0, (1000 + at_s) * 1_000_000, stop_us, by)
+            AllocationRecord(
+                f"job-{job:06}", attempt, "0-2", team, cpus, 0.0, 4.0, (1000 + at_s) * 1_000_000, stop_us, by
+            )
             for job, attempt, team, cpus, at_s, stop_us, by in holds
         ],
     )
@@ -240,12 +242,12 @@
 
 @given(STEPS)
 def test_a_lean_record_that_is_written_and_read_by_what_changed_says_the_same(steps) -> None:
-    picture, limits = Picture(), Limits(16, 60_000, 32_768, alike=True)
+    cluster_state, limits = ClusterState(), Limits(16, 60_000, 32_768, alike=True)
     key = GROUP + "g"
     first = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1")})
-    picture.put(key, compact_record.pack(msgspec.to_builtins(first)), 1)
+    cluster_state.put(key, compact_record.pack(msgspec.to_builtins(first)), 1)
     for version, (put, gone) in enumerate(steps, 2):
-        edit = Edit(picture.groups[key])
+        edit = GroupEdit(cluster_state.groups[key])
         for n, made in put.items():
             edit.replace(f"vm-{n}", machine_record(made))
         for name in sorted(f"vm-{n}" for n in gone):
@@ -254,29 +256,31 @@
         txn = Txn()
         assert edit.write(txn, limits, lambda job: True)
         sent = msgspec.msgpack.decode(msgspec.msgpack.encode(txn.puts[key]))
-        picture.put(key, sent, version)
+        cluster_state.put(key, sent, version)
         # As one reads it that has never seen this group, and as one that has followed it.
-        fresh = Picture()
+        fresh = ClusterState()
         fresh.put(key, sent, version)
         for name, machine in fresh.groups[key].machines.items():
-            mine = picture.groups[key].machines[name]
+            mine = cluster_state.groups[key].machines[name]
             assert (machine.record, machine.cpus) == (mine.record, mine.cpus)
-        assert picture.groups[key].machines.keys() == fresh.groups[key].machines.keys() == edit.machines.keys()
+        assert cluster_state.groups[key].machines.keys() == fresh.groups[key].machines.keys() == edit.machines.keys()
         for n, made in put.items():
-            assert picture.machines[f"vm-{n}"].record == machine_record(made)
+            assert cluster_state.machines[f"vm-{n}"].record == machine_record(made)
         used = {hold[3] for row in sent["machines"].values() for hold in row[4]}
         shown = {n for row in sent["machines"].values() for n in row[3]}
-        assert len(sent["kinds"]) + len(sent["images"]) <= 1.25 * (len(used) + len(shown)) + compact_record.SPARE
+        assert (
+            len(sent["kinds"]) + len(sent["images"]) <= 1.25 * (len(used) + len(shown)) + compact_record.SPARE_ENTRIES
+        )
 
 
 def test_a_row_that_looks_the_same_is_read_anew_when_what_it_points_into_is_not() -> None:
-    picture, key = Picture(), GROUP + "g"
+    cluster_state, key = ClusterState(), GROUP + "g"
     for version, image in enumerate(("img-a", "img-b"), 1):
         record = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1", images=[(image, 1.0)])})
         packed = compact_record.pack(msgspec.to_builtins(record))
         assert packed["machines"]["vm-0"][3] == [0]
-        picture.put(key, packed, version)
-        assert picture.machines["vm-0"].images == {image}
+        cluster_state.put(key, packed, version)
+        assert cluster_state.machines["vm-0"].images == {image}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -8,8 +8,8 @@
 
 from ashtray.config.settings import Team
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.records import HoldRecord, MachineRecord
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.records import AllocationRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP, TEAM
 from ashtray.store.client import Txn
 from ashtray.teams.grants import LAST, Grants, Want
@@ -22,14 +22,14 @@
 
 
 class Host:
-    """A controller's view: its picture, as late as it was last brought up to date, and its grants."""
+    """A controller's view: its cluster state, as late as it was last brought up to date, and its grants."""
 
     def __init__(self, name: str, state: State) -> None:
         self.name = name
         self.state = state
         self.revision = 0
-        self.picture = Picture()
-        self.grants = Grants(name, HOSTS, [Team("crew", cpus_max=LIMIT)], self.picture)
+        self.cluster_state = ClusterState()
+        self.grants = Grants(name, HOSTS, [Team("crew", cpus_max=LIMIT)], self.cluster_state)
         self.grants.begin(state.revision)
 
     def sync(self) -> None:
@@ -37,9 +37,9 @@
         assert status == 200
         for change in body["log"]:
             if "put" in change:
-                self.picture.put(change["put"], change["value"], change["stamp"])
+                self.cluster_state.put(change["put"], change["value"], change["stamp"])
             else:
-                self.picture.remove(change["remove"], change["stamp"])
+                self.cluster_state.remove(change["remove"], change["stamp"])
         self.revision = body["ledger"]
         self.grants.seen(self.revision)
 
@@ -49,7 +49,7 @@
         status, body = self.state.handle(0, "POST", "/txn", decoded(txn))
         if status == 200:
             for key, value in txn.puts.items():
-                self.picture.put(key, value, body["ledger"])
+                self.cluster_state.put(key, value, body["ledger"])
         return status == 200
 
     def fence(self) -> None:
@@ -61,19 +61,19 @@
         if count <= 0:
             return None
         key = f"{GROUP}{self.name}.{slot}"
-        group = self.picture.groups.get(key)
+        group = self.cluster_state.groups.get(key)
         holds = [] if group is None else group.machines["m"].record.holds
-        hold = HoldRecord("job-1", 1, f"0-{count - 1}", "crew", 2.0, 0.0, 1.0, 0, by=self.name)
+        hold = AllocationRecord("job-1", 1, f"0-{count - 1}", "crew", 2.0, 0.0, 1.0, 0, by=self.name)
         record = MachineRecord("m:1", holds=[*holds, hold])
         value = {"type": "t", "zone": "a", "machines": {"m": msgspec.to_builtins(record)}}
-        txn = Txn().guard(TEAM + "crew", self.picture.version(TEAM + "crew"))
-        return txn.guard(key, self.picture.version(key)).put(key, value)
+        txn = Txn().guard(TEAM + "crew", self.cluster_state.version(TEAM + "crew"))
+        return txn.guard(key, self.cluster_state.version(key)).put(key, value)
 
     def free(self, slot: int) -> None:
         key = f"{GROUP}{self.name}.{slot}"
         value = {"type": "t", "zone": "a", "machines": {"m": {"address": "m:1"}}}
-        if key in self.picture.groups:
-            self.send(Txn().guard(key, self.picture.version(key)).put(key, value))
+        if key in self.cluster_state.groups:
+            self.send(Txn().guard(key, self.cluster_state.version(key)).put(key, value))
 
 
 def decoded(txn: Txn) -> Any:
@@ -81,10 +81,10 @@
 
 
 def used(state: State) -> float:
-    picture = Picture()
+    cluster_state = ClusterState()
     for key, (value, revision, _) in state.keys.items():
-        picture.put(key, value, revision)
-    return picture.team_usage("crew")[0]
+        cluster_state.put(key, value, revision)
+    return cluster_state.team_usage("crew")[0]
 
 
 NAMES = ["place", "place", "place", "lost", "arrive", "sync", "fence", "share", "share", "free", "restart"]
@@ -177,7 +177,7 @@
     hosts[2].free(0)
     hosts[0].sync()
     assert hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 10, wants))
-    assert hosts[0].picture.shares["crew"]["h2"] == (0.0, 0.0)
+    assert hosts[0].cluster_state.shares["crew"]["h2"] == (0.0, 0.0)
     hosts[0].sync()
     assert hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 10, wants))
     assert hosts[0].grants.allowed("crew", SPEC) == 8
@@ -221,7 +221,7 @@
 
 def test_one_with_nothing_gets_its_part_though_all_have_work_waiting() -> None:
     state, hosts = settled()
-    txn = Txn().guard(TEAM + "crew", hosts[0].picture.version(TEAM + "crew"))
+    txn = Txn().guard(TEAM + "crew", hosts[0].cluster_state.version(TEAM + "crew"))
     txn.put(TEAM + "crew", {"h0": (0.0, 0.0), "h1": (12.0, 0.0), "h2": (12.0, 0.0)})
     for host in hosts:
         host.sync()
@@ -259,7 +259,8 @@
 
 
 def test_a_fence_counts_once_the_picture_is_read_up_to_it() -> None:
-    # A change of the shares by this controller is in its picture at once; what others placed before it need not be.
+    # A change of the shares by this controller is in its cluster state at once; what others placed before it need
+    # not be.
     state = State()
     host = Host("h0", state)
     host.sync()
@@ -273,7 +274,7 @@
 def test_a_rest_too_small_for_any_task_of_its_holder_is_taken_where_it_makes_room() -> None:
     # Found with a limit that binds: shares by need were 4.9 and 5.1 CPUs for tasks of 2, and 2 stood idle for ever.
     state, hosts = settled()
-    txn = Txn().guard(TEAM + "crew", hosts[0].picture.version(TEAM + "crew"))
+    txn = Txn().guard(TEAM + "crew", hosts[0].cluster_state.version(TEAM + "crew"))
     txn.put(TEAM + "crew", {"h0": (14.0, 0.0), "h1": (4.9, 0.0), "h2": (5.1, 0.0)})
     for host in hosts:
         host.sync()
@@ -296,7 +297,7 @@
     _, (host, *_) = settled()
     small = msgspec.structs.replace(SPEC, cpus=1.5)
     for n, (spec, owner) in enumerate([(SPEC, "h0"), (small, "h0"), (small, "h1"), (GANG, "h1"), (SPEC, "h1")]):
-        host.picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, owner, n)), n + 1)
-    queue = [host.picture.jobs[f"job-{n}"] for n in range(5)]
+        host.cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, owner, n)), n + 1)
+    queue = [host.cluster_state.jobs[f"job-{n}"] for n in range(5)]
     wants = host.grants.wants("crew", queue, lambda job: job.record.owner, HOSTS)
     assert [wants[name].least for name in HOSTS] == [(1.5, 0.0), (0.0, 0.0), (0.0, 0.0)]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -11,9 +11,9 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
 from ashtray.placement import compact_record
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Machine
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.rules import FEW_GROUPS, PREFERENCES, Ask, Room, rank, valid
 from ashtray.placement.state_keys import GROUP
 from ashtray.standby.book import latest
@@ -39,7 +39,7 @@
 
 def test_a_word_between_peers_grows_with_the_machines_that_its_sender_hears() -> None:
     core = Model(1, hosts=3).hosts[0].core
-    core.picture.fleet = ({"host": "berth-1"}, 1)
+    core.cluster_state.fleet = ({"host": "berth-1"}, 1)
     sizes = []
     for number in SIZES:
         now = core.kernel.now_us
@@ -80,7 +80,9 @@
             2**62,
             images=[(f"image-{n}-{k}", 5.25) for k in range(6)],
             holds=[
-                HoldRecord(f"job-{8 * n + k:06}", 3, "0-2,5", "reader-app", 9.5, 1.0, 36.0, 10**15, by="berth-3")
+                AllocationRecord(
+                    f"job-{8 * n + k:06}", 3, "0-2,5", "reader-app", 9.5, 1.0, 36.0, 10**15, by="berth-3"
+                )
                 for k in range(8)
             ],
         )
@@ -93,22 +95,22 @@
 def test_a_start_reads_pages_by_the_keys_that_are_live_and_adopts_by_the_group() -> None:
     pages, changes = [], []
     for number in SIZES[:2]:
-        picture, limits = Picture(), Limits(16, 55_000, 32_768, alike=True)
-        picture._types["t"] = {"big": KIND}
-        picture._types_changed()
+        cluster_state, limits = ClusterState(), Limits(16, 55_000, 32_768, alike=True)
+        cluster_state._types["t"] = {"big": KIND}
+        cluster_state._types_changed()
         left = {name: Report(name, "10.1.0.1:9000", "big", "a", False, 1, 1, 0, None, {}) for name in names(number)}
         version = spent = 0
         while left:
-            txn, taken = adoption(picture, left, OperatorSettings().group_size, limits)
+            txn, taken = adoption(cluster_state, left, OperatorSettings().group_size, limits)
             assert taken
             version += 1
             spent += txn.changes()
             for key, value in txn.puts.items():
-                picture.put(key, value, version)
+                cluster_state.put(key, value, version)
             for name in taken:
                 del left[name]
         changes.append(spent)
-        pages.append(math.ceil(sum(key.startswith(GROUP) for key in picture.groups) / 1000))
+        pages.append(math.ceil(sum(key.startswith(GROUP) for key in cluster_state.groups) / 1000))
     proportional([float(spent) for spent in changes])
     assert changes[1] <= 75 and pages == [1, 1]
 
@@ -219,7 +221,7 @@
     machines = {}
     for name in names:
         holds = [
-            HoldRecord(
+            AllocationRecord(
                 f"job-{draw.randrange(4)}",
                 draw.choice([1, 1, 2]),
                 draw.choice(["0-2", "3", "5,7", "8"]),
@@ -256,15 +258,16 @@
     return value
 
 
-def shown(picture: Picture) -> dict:
-    """What a picture says of holds, usage and jobs, in no order."""
+def shown(cluster_state: ClusterState) -> dict:
+    """What a cluster state says of holds, usage and jobs, in no order."""
     holds = {
-        job: {key: (hold.record, hold.tasks) for key, hold in held.items()} for job, held in picture.held.items()
+        job: {key: (hold.record, hold.tasks) for key, hold in held.items()}
+        for job, held in cluster_state.allocations.items()
     }
     names = ["crew", "free"]
     leaving = {}
-    for job, held in picture.held.items():
-        live = picture.jobs.get(job)
+    for job, held in cluster_state.allocations.items():
+        live = cluster_state.jobs.get(job)
         ends = [
             (name, id(hold))
             for (name, _), hold in held.items()
@@ -272,22 +275,26 @@
         ]
         if ends:
             leaving[job] = sorted(ends)
-    assert {job: sorted((name, id(h)) for name, h in held) for job, held in picture.leaving().items()} == leaving
+    assert {
+        job: sorted((name, id(h)) for name, h in held) for job, held in cluster_state.leaving().items()
+    } == leaving
     return {
-        "machines": {name: (machine.raw, machine.group) for name, machine in picture.machines.items()},
+        "machines": {name: (machine.raw, machine.group) for name, machine in cluster_state.machines.items()},
         "holds": holds,
-        "usage": {(name, by): picture.team_usage(name, by) for name in names for by in (None, "berth-0", "berth-1")},
-        "waiting": dict(picture.waiting()),
-        "completed": set(picture.completed()),
-        "placed": {job_id: picture.placed(job_id) for job_id in picture.jobs},
-        "finished": {job.id: picture.finished(job) for job in picture.jobs.values()},
+        "usage": {
+            (name, by): cluster_state.team_usage(name, by) for name in names for by in (None, "berth-0", "berth-1")
+        },
+        "waiting": dict(cluster_state.waiting()),
+        "completed": set(cluster_state.completed()),
+        "placed": {job_id: cluster_state.placed(job_id) for job_id in cluster_state.jobs},
+        "finished": {job.id: cluster_state.finished(job) for job in cluster_state.jobs.values()},
     }
 
 
 @given(st.integers(0, 10**6), st.booleans())
 def test_a_picture_that_followed_changes_shows_what_one_read_anew_does(seed: int, packed: bool) -> None:
     draw = random.Random(seed)
-    picture = Picture()
+    cluster_state = ClusterState()
     stored: dict[str, tuple[dict, int]] = {}
     plain: dict[str, dict] = {}
     for version in range(1, 25):
@@ -306,13 +313,13 @@
                 value = compact_record.pack(value, before and before[0], set(value["machines"]))
         if value is None:
             stored.pop(key, None)
-            picture.remove(key, version)
+            cluster_state.remove(key, version)
         else:
             stored[key] = value, version
-            picture.put(key, value, version)
+            cluster_state.put(key, value, version)
         if draw.random() < 0.5:
-            shown(picture)
-    anew = Picture()
+            shown(cluster_state)
+    anew = ClusterState()
     for key, (value, version) in stored.items():
         anew.put(key, value, version)
-    assert shown(picture) == shown(anew)
+    assert shown(cluster_state) == shown(anew)
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -13,10 +13,10 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Team
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan, queue
 from ashtray.placement.preemption import Right, choose_victims, stop_for
-from ashtray.placement.records import EPS, GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AMOUNT_TOLERANCE, AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import CLAIM, GROUP, TYPES
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn
@@ -42,9 +42,9 @@
 
 
 class World:
-    """The state service with some machines full of work, and pictures of it."""
+    """The state service with some machines full of work, and cluster_states of it."""
 
-    def __init__(self, holds: dict[str, list[HoldRecord]], cpus: float) -> None:
+    def __init__(self, holds: dict[str, list[AllocationRecord]], cpus: float) -> None:
         self.state = State()
         self.put({TYPES: machine_type(cpus)})
         for n, (name, record) in enumerate(holds.items()):
@@ -60,32 +60,32 @@
     def apply(self, txn: Txn) -> bool:
         return self.state.handle(0, "POST", "/txn", txn.body())[0] == 200
 
-    def picture(self) -> Picture:
-        picture = Picture()
+    def cluster_state(self) -> ClusterState:
+        cluster_state = ClusterState()
         for key, (value, version, _) in self.state.keys.items():
-            picture.put(key, value, version)
-        return picture
+            cluster_state.put(key, value, version)
+        return cluster_state
 
-    def stopping(self, picture: Picture, job_id: str, count: int, by: str = "berth-0") -> Txn | None:
-        """What one controller would commit on its picture to make room for so many tasks of a job."""
-        _, inside = queue(picture, TEAMS)
-        plan = Plan(picture, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
-        job = picture.jobs[job_id]
-        victims = choose_victims(plan, job, count, Right(picture, inside, job, plan.excess()), 10**9, None)
-        return stop_for(picture, TEAMS, inside, job, victims, LIMITS, by, 10**9) if victims else None
+    def stopping(self, cluster_state: ClusterState, job_id: str, count: int, by: str = "berth-0") -> Txn | None:
+        """What one controller would commit on its cluster state to make room for so many tasks of a job."""
+        _, inside = queue(cluster_state, TEAMS)
+        plan = Plan(cluster_state, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
+        job = cluster_state.jobs[job_id]
+        victims = choose_victims(plan, job, count, Right(cluster_state, inside, job, plan.excess()), 10**9, None)
+        return stop_for(cluster_state, TEAMS, inside, job, victims, LIMITS, by, 10**9) if victims else None
 
 
-def stopped(picture: Picture, team: str) -> float:
+def stopped(cluster_state: ClusterState, team: str) -> float:
     return sum(
         len(hold.tasks) * hold.record.cpus
-        for holds in picture.held.values()
+        for holds in cluster_state.allocations.values()
         for hold in holds.values()
         if hold.record.stop_us >= 0 and hold.record.team == team
     )
 
 
-def hold(job: str, tasks: set[int], team: str, cpus: float = 1.0) -> HoldRecord:
-    return HoldRecord(job, 1, encode_runs(tasks), team, cpus, 0.0, 0.0, 0)
+def hold(job: str, tasks: set[int], team: str, cpus: float = 1.0) -> AllocationRecord:
+    return AllocationRecord(job, 1, encode_runs(tasks), team, cpus, 0.0, 0.0, 0)
 
 
 def probe(machines: int = 1) -> World:
@@ -100,56 +100,56 @@
 def test_a_team_is_not_taken_below_its_guarantee() -> None:
     world = probe()
     world.put({LIVE + "job-2": job_record("a", 5)})
-    picture = world.picture()
-    assert world.stopping(picture, "job-2", 5) is None
-    txn = world.stopping(picture, "job-2", 1)
+    cluster_state = world.cluster_state()
+    assert world.stopping(cluster_state, "job-2", 5) is None
+    txn = world.stopping(cluster_state, "job-2", 1)
     assert txn is not None and world.apply(txn)
-    assert stopped(world.picture(), "b") == 1.0
+    assert stopped(world.cluster_state(), "b") == 1.0
     # It has nothing beyond its guarantee now, though what was stopped still holds its room.
-    assert world.stopping(world.picture(), "job-2", 1) is None
+    assert world.stopping(world.cluster_state(), "job-2", 1) is None
 
 
 def test_two_that_decide_at_once_do_not_stop_the_same_excess() -> None:
     world = probe(machines=5)
     # On different machines: nothing else that they write would conflict.
     world.put({LIVE + "job-2": job_record("a", 1, zone="y"), LIVE + "job-3": job_record("a", 1, zone="z")})
-    pictures = world.picture(), world.picture()
-    first = world.stopping(pictures[0], "job-2", 1, "berth-0")
-    second = world.stopping(pictures[1], "job-3", 1, "berth-1")
+    cluster_states = world.cluster_state(), world.cluster_state()
+    first = world.stopping(cluster_states[0], "job-2", 1, "berth-0")
+    second = world.stopping(cluster_states[1], "job-3", 1, "berth-1")
     assert first is not None and second is not None
     assert CLAIM + "b" in first.puts
     assert [world.apply(first), world.apply(second)] == [True, False]
-    assert stopped(world.picture(), "b") == 1.0
+    assert stopped(world.cluster_state(), "b") == 1.0
 
 
 def test_what_ended_by_itself_since_the_plan_is_counted_at_the_commit() -> None:
     world = probe()
     world.put({LIVE + "job-2": job_record("a", 1)})
-    picture = world.picture()
-    _, inside = queue(picture, TEAMS)
-    plan = Plan(picture, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
-    job = picture.jobs["job-2"]
-    victims = choose_victims(plan, job, 1, Right(picture, inside, job, plan.excess()), 10**9, None)
+    cluster_state = world.cluster_state()
+    _, inside = queue(cluster_state, TEAMS)
+    plan = Plan(cluster_state, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
+    job = cluster_state.jobs["job-2"]
+    victims = choose_victims(plan, job, 1, Right(cluster_state, inside, job, plan.excess()), 10**9, None)
     assert victims
     machine = MachineRecord("x", holds=[hold("job-1", {0, 1, 2, 3}, "b")])
     world.put({f"{GROUP}vm-0": msgspec.to_builtins(GroupRecord("m", "y", {"vm-0": machine}))})
-    later = world.picture()
+    later = world.cluster_state()
     assert stop_for(later, TEAMS, inside, later.jobs["job-2"], victims, LIMITS, "berth-0", 10**9) is None
 
 
 def test_lower_priority_is_no_matter_of_guarantees() -> None:
     world = probe()
     world.put({LIVE + "job-2": job_record("c", 5, priority=1)})
-    txn = world.stopping(world.picture(), "job-2", 5)
+    txn = world.stopping(world.cluster_state(), "job-2", 5)
     assert txn is not None and not any(key.startswith(CLAIM) for key in txn.puts)
 
 
 def test_a_team_without_a_guarantee_gives_all_that_it_runs() -> None:
     world = World({"vm-0": [hold("job-1", {0, 1, 2}, "c")]}, 3.0)
     world.put({LIVE + "job-1": job_record("c", 3), LIVE + "job-2": job_record("a", 3)})
-    txn = world.stopping(world.picture(), "job-2", 3)
+    txn = world.stopping(world.cluster_state(), "job-2", 3)
     assert txn is not None and world.apply(txn)
-    assert stopped(world.picture(), "c") == 3.0
+    assert stopped(world.cluster_state(), "c") == 3.0
 
 
 def test_nothing_is_stopped_for_a_job_that_waits_for_its_teams_limit() -> None:
@@ -179,36 +179,36 @@
 def test_no_order_of_deciding_and_applying_takes_more_than_the_excess(
     uses: list[tuple[str, int, int]], asks: list[tuple[str, int, bool]], rng: random.Random
 ) -> None:
-    """Several decide on pictures of different age; each commits at once, late, twice, or never."""
-    holds: dict[str, list[HoldRecord]] = {}
+    """Several decide on cluster_states of different age; each commits at once, late, twice, or never."""
+    holds: dict[str, list[AllocationRecord]] = {}
     values: dict[str, Any] = {}
     for n, (team, tasks, cpus) in enumerate(uses):
         holds[f"vm-{n}"] = [hold(f"job-{n}", set(range(tasks)), team, float(cpus))]
         values[LIVE + f"job-{n}"] = job_record(team, tasks + 3, float(cpus), at_us=n)
     world = World(holds, 8.0)
     world.put(values)
-    before = Excess(world.picture(), TEAMS)
-    pictures = [world.picture()]
+    before = Excess(world.cluster_state(), TEAMS)
+    cluster_states = [world.cluster_state()]
     late: list[Txn] = []
     for n, (team, tasks, fresh) in enumerate(asks):
         name = f"job-{100 + n}"
         record = job_record(team, tasks, 1.0, at_us=100 + n, zone=rng.choice([None, *ZONES]))
         world.put({LIVE + name: record})
         if fresh:
-            pictures.append(world.picture())
-        picture = rng.choice(pictures)
-        picture.put(LIVE + name, record, world.state.revision)
-        txn = world.stopping(picture, name, tasks, f"berth-{n}")
+            cluster_states.append(world.cluster_state())
+        cluster_state = rng.choice(cluster_states)
+        cluster_state.put(LIVE + name, record, world.state.revision)
+        txn = world.stopping(cluster_state, name, tasks, f"berth-{n}")
         if txn is not None:
             late.append(txn)
         rng.shuffle(late)
         for txn in [txn for txn in late if rng.random() < 0.6]:
             world.apply(txn)
-    now = world.picture()
+    now = world.cluster_state()
     for team in TEAMS:
         taken = stopped(now, team)
-        assert before.allows({team: (taken, 0.0)}) or taken < EPS
-    assert all(decode_runs(h.record.tasks) for hs in now.held.values() for h in hs.values())
+        assert before.allows({team: (taken, 0.0)}) or taken < AMOUNT_TOLERANCE
+    assert all(decode_runs(h.record.tasks) for hs in now.allocations.values() for h in hs.values())
 
 
 @pytest.mark.parametrize("machines", [100, 1_000])
@@ -219,10 +219,10 @@
     world = World(holds, 4.0)
     world.put({LIVE + "job-0": job_record("b", machines, 4.0, 1), LIVE + "job-1": job_record("b", machines, 4.0, 1)})
     world.put({LIVE + "job-9": job_record("b", 2, 2.0, 3), LIVE + "job-2": job_record("c", 1, 2.0, 2)})
-    picture = world.picture()
+    cluster_state = world.cluster_state()
     asked: list[str] = []
     allowed = Right.allowed
     monkeypatch.setattr(Right, "allowed", lambda self, held: asked.append(held.job) or allowed(self, held))
-    txn = world.stopping(picture, "job-2", 1)
+    txn = world.stopping(cluster_state, "job-2", 1)
     assert asked == ["job-9"]
-    assert txn is not None and world.apply(txn) and stopped(world.picture(), "b") == 2.0
+    assert txn is not None and world.apply(txn) and stopped(world.cluster_state(), "b") == 2.0
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,10 +11,10 @@
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import SECOND_US, Sleep
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.machine_groups import Hold, reuse_holds
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.machine_groups import Allocation, reuse_allocations
 from ashtray.placement.placer import Draft, Item
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import VALUE_SHARE, Limits
 from ashtray.workers.messages import TaskState
@@ -25,21 +25,21 @@
 
 @pytest.mark.parametrize(("zone", "allowed"), [("a", True), ("b", False)])
 def test_a_job_of_one_zone_is_not_placed_in_another_by_a_picture_that_has_changed(zone: str, allowed: bool) -> None:
-    """Safety point 9: the plan saw no task of the job, and the picture shows one in zone a now."""
-    picture = Picture()
+    """Safety point 9: the plan saw no task of the job, and the cluster state shows one in zone a now."""
+    cluster_state = ClusterState()
     spec = JobSpec("any", "free", "array", 2, 2, 1.0, 0.0, 1.0, "img", 1.0, same_zone=True)
-    picture.put(LIVE + "job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, attempt=1)), 3)
-    hold = HoldRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
+    cluster_state.put(LIVE + "job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, attempt=1)), 3)
+    hold = AllocationRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
     for where in ("a", "b"):
         holds = [hold] if where == "a" else []
         machine = MachineRecord("vm:1", token=1, holds=holds)
         record = GroupRecord("small", where, {f"vm-{where}": machine})
-        picture.put(GROUP + where, msgspec.to_builtins(record), 4)
+        cluster_state.put(GROUP + where, msgspec.to_builtins(record), 4)
     kind = SimpleNamespace(cpus=4.0, gpus=0.0, memory_gb=16.0)
-    room: Any = SimpleNamespace(machine=picture.machines[f"vm-{zone}"], type=kind)
+    room: Any = SimpleNamespace(machine=cluster_state.machines[f"vm-{zone}"], type=kind)
     grants: Any = SimpleNamespace(limited=lambda team: False)
-    draft = Draft(picture, grants, SimpleNamespace(freed={}), Limits(16, 60_000, 32_768))  # type: ignore[arg-type]
-    assert draft.allows(picture.jobs["job-1"], Item("job-1", [1], [(room, 1)], 0)) == allowed
+    draft = Draft(cluster_state, grants, SimpleNamespace(freed={}), Limits(16, 60_000, 32_768))  # type: ignore[arg-type]
+    assert draft.allows(cluster_state.jobs["job-1"], Item("job-1", [1], [(room, 1)], 0)) == allowed
 
 
 def test_a_record_over_its_share_of_the_limit_is_not_written() -> None:
@@ -54,7 +54,7 @@
     model = settled()
     name = next(n for machines in model.on.values() for n in machines)
     desk = next(h.core.desk for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
-    worker, machine = desk.workers[name], desk.base.picture.machines[name]
+    worker, machine = desk.workers[name], desk.base.cluster_state.machines[name]
     assert machine.holds and worker.report.tasks
     ended = {key: TaskState("ended", "done") for key in worker.report.tasks}
     worker.report, worker.settled = msgspec.structs.replace(worker.report, tasks=ended), None
@@ -116,17 +116,17 @@
 
 def test_two_equal_holds_of_a_machine_are_two_in_the_picture() -> None:
     """A hold that was there before stands for one record, not for each that is equal to it."""
-    record = HoldRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
-    before = [Hold(record)]
-    holds = reuse_holds([record, record], before)
+    record = AllocationRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
+    before = [Allocation(record)]
+    holds = reuse_allocations([record, record], before)
     assert holds[0] is before[0]
     assert holds[1] is not before[0] and holds[1].record == record
 
 
 def test_a_version_is_not_kept_of_a_record_that_is_gone() -> None:
-    picture, key = Picture(), LIVE + "job-1"
+    cluster_state, key = ClusterState(), LIVE + "job-1"
     spec = JobSpec("any", "free", "array", 2, 2, 1.0, 0.0, 1.0, "img", 1.0)
-    picture.put(key, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3)
-    assert picture.version(key) == 3
-    picture.remove(key, 4)
-    assert picture.version(key) == 0
+    cluster_state.put(key, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3)
+    assert cluster_state.version(key) == 3
+    cluster_state.remove(key, 4)
+    assert cluster_state.version(key) == 0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,9 +11,9 @@
 from ashtray.jobs.model import LIVE, Job, JobRecord, JobSpec
 from ashtray.kernel import Kernel
 from ashtray.placement import compact_record
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import GROUP, SPLIT
 from ashtray.runs import decode_runs, encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
@@ -23,7 +23,7 @@
 
 SECOND = 1_000_000
 HOLD = st.builds(
-    HoldRecord,
+    AllocationRecord,
     st.integers(0, 10**9).map("job-{:06}".format),
     st.integers(1, 99),
     st.sets(st.integers(0, 300), min_size=1, max_size=9).map(encode_runs),
@@ -69,7 +69,7 @@
             job = f"job-{n}{h:03}"
             spec = JobSpec("any", "free", "service", 2, 2, 0.01, 0.0, 0.01, "img", 1.0)
             jobs[job] = JobRecord(spec, "berth-0", 0, 1)
-            machine.holds.append(HoldRecord(job, 1, "0-1", "free", 0.01, 0.0, 0.01, 0, by="berth-0"))
+            machine.holds.append(AllocationRecord(job, 1, "0-1", "free", 0.01, 0.0, 0.01, 0, by="berth-0"))
     for n in range(60):
         job = f"job-9{n:05}"
         jobs[job] = JobRecord(JobSpec("any", "free", "array", 2, 900, 1.0, 0.0, 1.0, "img", 1.0), "berth-0", 0, 1)
@@ -113,25 +113,25 @@
 
 def test_while_a_group_is_being_split_its_moved_machines_count_once():
     group, jobs = full_group(10, 2)
-    picture = Picture()
+    cluster_state = ClusterState()
     for job, value in jobs.items():
-        picture.put(LIVE + job, value, 3)
-    picture.put(GROUP + "g", group, 5)
-    usage = picture.team_usage("free")
+        cluster_state.put(LIVE + job, value, 3)
+    cluster_state.put(GROUP + "g", group, 5)
+    usage = cluster_state.team_usage("free")
     part = {**group, "machines": {n: m for n, m in group["machines"].items() if n <= "vm-000003"}, "done": {}}
-    picture.put(GROUP + "h", compact_record.pack(part), 6)
-    picture.put(SPLIT + "g", {"machine": "vm-000003", "job": ""}, 6)
-    assert picture.machines["vm-000003"].group == GROUP + "h"
-    assert picture.machines["vm-000004"].group == GROUP + "g"
-    assert picture.team_usage("free") == usage
+    cluster_state.put(GROUP + "h", compact_record.pack(part), 6)
+    cluster_state.put(SPLIT + "g", {"machine": "vm-000003", "job": ""}, 6)
+    assert cluster_state.machines["vm-000003"].group == GROUP + "h"
+    assert cluster_state.machines["vm-000004"].group == GROUP + "g"
+    assert cluster_state.team_usage("free") == usage
     # A transaction of the version before that was held back on its way changes what no longer counts.
     late = {**group, "machines": {**group["machines"], "vm-000003": {"address": "x"}}}
-    picture.put(GROUP + "g", late, 7)
-    assert picture.machines["vm-000003"].group == GROUP + "h"
-    assert picture.team_usage("free") == usage
-    picture.remove(GROUP + "g", 8)
-    picture.remove(SPLIT + "g", 8)
-    assert sorted(picture.machines) == sorted(part["machines"])
+    cluster_state.put(GROUP + "g", late, 7)
+    assert cluster_state.machines["vm-000003"].group == GROUP + "h"
+    assert cluster_state.team_usage("free") == usage
+    cluster_state.remove(GROUP + "g", 8)
+    cluster_state.remove(SPLIT + "g", 8)
+    assert sorted(cluster_state.machines) == sorted(part["machines"])
 
 
 @given(st.integers(1, 100_000), st.sets(st.integers(0, 99_999), max_size=600), st.integers(900, 4000))
@@ -148,18 +148,18 @@
 def test_folds_never_grow_a_record_over_its_limit():
     # Every other task of many arrays ends: holds fall into fragments, and completed tasks are noted.
     limits = Limits(5, 50_000, 2048, low=True)
-    picture = Picture(1900)
+    cluster_state = ClusterState(1900)
     holds = []
     for n in range(14):
         spec = JobSpec("any", "crew", "array", 2, 400, 1.0, 0.0, 1.0, "img", 1.0)
-        picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, 1)), 3)
-        holds.append(HoldRecord(f"job-{n}", 1, f"{100 + n}-{139 + n}", "crew", 1.0, 0.0, 1.0, 0, by="berth-0"))
+        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, 1)), 3)
+        holds.append(AllocationRecord(f"job-{n}", 1, f"{100 + n}-{139 + n}", "crew", 1.0, 0.0, 1.0, 0, by="berth-0"))
     names = ["vm-0", "vm-1"]
     record = GroupRecord(
         "small", "a", {name: MachineRecord("x:1", token=7, holds=holds[k::2]) for k, name in enumerate(names)}
     )
     version = 5
-    picture.put(GROUP + "0", compact_record.pack(msgspec.to_builtins(record)), version)
+    cluster_state.put(GROUP + "0", compact_record.pack(msgspec.to_builtins(record)), version)
     rng = random.Random(3)
     tasks = [(h.job, t, name) for k, name in enumerate(names) for h in holds[k::2] for t in decode_runs(h.tasks)]
     rng.shuffle(tasks)
@@ -169,14 +169,14 @@
             ended[name][(job, 1, task)] = TaskState("ended", "done")
         del tasks[:25]
         for _ in range(20):
-            group = picture.groups[GROUP + "0"]
+            group = cluster_state.groups[GROUP + "0"]
             evidence = {}
             for name in names:
                 there = group.machines[name].holds
                 seen = {(h.job, 1, t): TaskState("running", None) for h in there for t in h.tasks} | ended[name]
                 report = Report(name, "x:1", "small", "a", False, 1, version, 7, None, seen)
                 evidence[name] = Evidence(report, 7, True)
-            fold = Fold(Kernel(None), picture, limits)
+            fold = Fold(Kernel(None), cluster_state, limits)
             fold.add(group, names, evidence)
             txn = fold.transaction()
             if txn is None:
@@ -185,28 +185,28 @@
             assert txn.changes() <= 5
             for key, value in txn.puts.items():
                 assert compact_record.size_of(value) <= 2048
-                picture.put(key, value, version)
+                cluster_state.put(key, value, version)
             for key in txn.removes:
-                picture.remove(key, version)
-    assert not picture.groups[GROUP + "0"].machines["vm-0"].holds
-    assert all(len(picture.finished(job)) == 40 for job in picture.jobs.values())
+                cluster_state.remove(key, version)
+    assert not cluster_state.groups[GROUP + "0"].machines["vm-0"].holds
+    assert all(len(cluster_state.finished(job)) == 40 for job in cluster_state.jobs.values())
 
 
 def test_a_machine_full_of_small_tasks_of_many_jobs_gets_no_more_than_its_record_holds():
     limits = Limits(5, 50_000, 2048, low=True)
-    picture = Picture(1900)
-    picture._types["t"] = {"big": MachineType("big", 96.0, 0.0, 384.0, 60.0, 1.0, 1.0, 0.3, 1, ("a",))}
-    picture._types_changed()
+    cluster_state = ClusterState(1900)
+    cluster_state._types["t"] = {"big": MachineType("big", 96.0, 0.0, 384.0, 60.0, 1.0, 1.0, 0.3, 1, ("a",))}
+    cluster_state._types_changed()
     record = GroupRecord("big", "a", {"vm-0": MachineRecord("10.1.0.2:9000", token=2**45)})
-    picture.put(GROUP + "0", compact_record.pack(msgspec.to_builtins(record)), 5)
+    cluster_state.put(GROUP + "0", compact_record.pack(msgspec.to_builtins(record)), 5)
     for n in range(96):
         spec = JobSpec("any", "crew", "array", 2, 1, 1.0, 0.0, 1.0, f"img-{n % 3}", 1.0)
-        picture.put(f"{LIVE}job-{n:06}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 6)
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), limits)
+        cluster_state.put(f"{LIVE}job-{n:06}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 6)
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), limits)
     machine = record.machines["vm-0"]
-    for job in picture.jobs.values():
+    for job in cluster_state.jobs.values():
         for _ in plan.place(job, 1, 0.0):
-            machine.holds.append(HoldRecord(job.id, 1, "0", "crew", 1.0, 0.0, 1.0, 10**15, by="berth-0"))
+            machine.holds.append(AllocationRecord(job.id, 1, "0", "crew", 1.0, 0.0, 1.0, 10**15, by="berth-0"))
             machine.images = [(f"img-{k}", 1.0) for k in range(3)]
     assert 20 < len(machine.holds) < 96
     assert compact_record.size_of(compact_record.pack(msgspec.to_builtins(record))) < 2048 * 0.9
--- a/tests/test_meetings_announcements.py
+++ b/tests/test_meetings_announcements.py
@@ -98,7 +98,7 @@
     while not model.answers_lost:
         model.run(0.001)
     model.crash(first, 30.0)
-    assert not model.hosts[second].core.picture.is_over(JOB)
+    assert not model.hosts[second].core.cluster_state.is_over(JOB)
     told_us = run_until_told(model, cancel(model, second))
     others = set(range(hosts)) - {first, second}
     known = {other for other in others if model.announced_us.get((other, JOB), told_us + 1) <= told_us}
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -92,9 +92,9 @@
     """A controller moves the record of a job that is done by its groups' word."""
 
     def build(core: Controller) -> Txn | None:
-        fold = Fold(core.kernel, core.picture, core.limits)
-        for job_id in core.picture.completed():
-            fold.end(core.picture.jobs[job_id])
+        fold = Fold(core.kernel, core.cluster_state, core.limits)
+        for job_id in core.cluster_state.completed():
+            fold.end(core.cluster_state.jobs[job_id])
         return fold.transaction()
 
     return Action("end", node, lambda play: play.commit(node, build))
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("poller", [0, *more(1)])
 def test_done_by_the_groups_word_is_not_taken_back_by_a_controller_that_has_changed_a_group_since(poller):
-    # Its own change is in its picture before what others wrote until then has been read.
+    # Its own change is in its cluster state before what others wrote until then has been read.
     scenario = schedules_of(
         lambda: running_job(2, 1), 2, [fold_by(0, 1), sign_by(1, 0), poll_at(poller), poll_at(1, told("done"))]
     )
@@ -544,7 +544,7 @@
     def send(node: int, name: str, body: dict[str, Any]) -> None:
         core = model.hosts[node].core
         if core is not None and node in restarted:
-            stages.add((core.follower.loaded, bool(core.presence.incarnation), bool(core.picture.types)))
+            stages.add((core.follower.loaded, bool(core.presence.incarnation), bool(core.cluster_state.types)))
 
         def answered(reply: Any) -> None:
             assert reply.status in (0, 400, 422, 503), (name, reply)
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -204,7 +204,7 @@
         machines = [name for name in machines if name not in workers_of(model, owner)]
         if machines:
             break
-    assert machines and "job-50" not in model.hosts[owner].core.picture.jobs
+    assert machines and "job-50" not in model.hosts[owner].core.cluster_state.jobs
     cancel_at(model, "job-50", (owner + 1) % HOSTS)
     while model.jobs["job-50"].cancelled_us is None:
         # Orders that would end its tasks at once are on their way for long, and no report is answered meanwhile.
--- a/tests/test_meetings_handovers.py
+++ b/tests/test_meetings_handovers.py
@@ -262,7 +262,7 @@
         model.submit(batch(n))
     # New machines are up, and no record has them yet.
     wait_until(model, lambda: len(model.workers) >= 2, 10)
-    unknown = sorted(set(model.workers) - set(model.hosts[0].core.picture.machines))
+    unknown = sorted(set(model.workers) - set(model.hosts[0].core.cluster_state.machines))
     assert unknown
     for number in range(hosts):
         model.crash(number, LEASE_S + 2 + (0.05 * number))
@@ -272,8 +272,10 @@
     model.roaming_until = model.now + 6 * SECOND
     model.run(40)
     records = [value for key, (value, _, _) in model.state.keys.items() if key.startswith("ashtray/now/group/")]
-    names = [name for host in model.hosts for name in host.core.picture.machines]
-    assert sum(len(group.machines) for group in model.hosts[0].core.picture.groups.values()) * hosts == len(names)
+    names = [name for host in model.hosts for name in host.core.cluster_state.machines]
+    assert sum(len(group.machines) for group in model.hosts[0].core.cluster_state.groups.values()) * hosts == len(
+        names
+    )
     assert records
     assert running(model) == set(model.jobs)
     assert model.longest_gap_us >= 0
--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -80,9 +80,9 @@
         return {key: value for key, (value, _, _) in self.state.keys.items() if key.startswith(prefix)}
 
     def held_tasks(self, name: str) -> set[tuple[str, int]]:
-        """The tasks that the newest picture of any controller lists on a machine."""
-        pictures = [host.core.picture for host in self.live() if host.core.follower.loaded]
-        machine = max(pictures, key=lambda picture: picture.upto).machines.get(name)
+        """The tasks that the newest cluster state of any controller lists on a machine."""
+        cluster_states = [host.core.cluster_state for host in self.live() if host.core.follower.loaded]
+        machine = max(cluster_states, key=lambda cluster_state: cluster_state.upto).machines.get(name)
         return {(hold.job, task) for hold in machine.holds for task in hold.tasks} if machine is not None else set()
 
     def restart_all(self) -> None:
@@ -207,7 +207,7 @@
     assert model.gone_s("job-2") <= LEASE_S + REPORT_S
     # Copies keep no machine alive that nobody hears.
     assert not set(names) & set(model.workers), deleted
-    assert not set(names) & {machine for host in model.hosts for machine in host.core.picture.machines}
+    assert not set(names) & {machine for host in model.hosts for machine in host.core.cluster_state.machines}
 
 
 @pytest.mark.parametrize("hosts", some([3], [5, 7]))
--- a/tests/test_meetings_late_commands.py
+++ b/tests/test_meetings_late_commands.py
@@ -39,7 +39,7 @@
     """The model with direct commands of a given kind held up."""
 
     def __init__(self, seed: int, hosts: int = 3) -> None:
-        self.held: list[HeldCommand] = []
+        self.allocations: list[HeldCommand] = []
         self.held_at_random = 0
         self.late_s: Callable[[dict[str, Any]], float] = lambda body: 0.0
         """For how long a command is held up, by its body."""
@@ -54,7 +54,7 @@
             self.held_at_random += held
             return held
         command = HeldCommand(name, body, self.now)
-        self.held.append(command)
+        self.allocations.append(command)
 
         def executed(status: int, _: Any) -> None:
             command.arrived_us, command.status = self.now, status
@@ -86,7 +86,7 @@
         def late_s(body: dict[str, Any]) -> float:
             named = [order for order in body["orders"] if order["verb"] == verb]
             chosen = any(order["piece"].startswith(f"{job_id}/" if job_id else "job-") for order in named)
-            return seconds if chosen and len(self.held) < most else 0.0
+            return seconds if chosen and len(self.allocations) < most else 0.0
 
         self.late_s = late_s
 
@@ -108,8 +108,8 @@
     model.submit(batch(50, **{"pieces": 1, "cpus": 1.0, **over}))
     for _ in range(int(10 / FINE_STEP_S)):
         model.run(FINE_STEP_S)
-        if model.held:
-            return model.held[0]
+        if model.allocations:
+            return model.allocations[0]
     raise AssertionError("no start of it was sent directly")
 
 
@@ -117,14 +117,14 @@
     """The machines that a job's tasks are placed on, as the first controller that runs knows them."""
     core = model.live()[0].core
     assert core is not None
-    return {name for name, _ in core.picture.held.get(job_id, {})}
+    return {name for name, _ in core.cluster_state.allocations.get(job_id, {})}
 
 
 def tasks_placed(model: Meeting, job_id: str) -> set[int]:
     """The tasks of a job that have a place."""
     core = model.live()[0].core
     assert core is not None
-    return set(core.picture.placed(job_id))
+    return set(core.cluster_state.placed(job_id))
 
 
 # Starts after a confirmed cancellation
@@ -232,9 +232,9 @@
     model.run(late_s + 2)
     # The meeting: a kill of it came when its task would have had its image for long.
     cancelled_us = model.jobs["job-50"].cancelled_us
-    assert cancelled_us is not None and model.held
-    assert all(command.arrived_us and command.arrived_us > cancelled_us + SECOND for command in model.held)
-    assert {command.status for command in model.held} == {409}
+    assert cancelled_us is not None and model.allocations
+    assert all(command.arrived_us and command.arrived_us > cancelled_us + SECOND for command in model.allocations)
+    assert {command.status for command in model.allocations} == {409}
     assert not model.late_starts and "job-50" not in model.job_starts
 
 
@@ -286,7 +286,7 @@
     model.submit(submission("job-50", pieces=1, cpus=1.0, crew="free", hulls=["small"]))
     model._run_us = lambda key: SECOND // 2  # type: ignore[method-assign]
     model.run(late_s + 3)
-    (command,) = model.held
+    (command,) = model.allocations
     # The meeting: its task had run under a newer token, was done and forgotten by the machine when it came.
     assert command.arrived_us is not None
     assert model.jobs["job-50"].told == "done" and model.jobs["job-50"].told_us < command.arrived_us
@@ -308,7 +308,7 @@
     later = msgspec.structs.replace(report, tick=report.tick + 1)
     core.desk._on_order_answer(worker, later)
     assert worker.report is later and worker.answered == (report.session, report.tick)
-    group = core.picture.groups[core.picture.machines[name].group]
+    group = core.cluster_state.groups[core.cluster_state.machines[name].group]
     assert not core.desk._evidence(group)[name].exact
     # Its next report is sent when the answer has come or was given up.
     core.desk._learn(worker, msgspec.structs.replace(report, tick=report.tick + 2))
--- a/tests/test_meetings_late_writes.py
+++ b/tests/test_meetings_late_writes.py
@@ -111,7 +111,7 @@
     def __init__(self, model: Model, fate: Fate) -> None:
         self.model = model
         self.held_when_heard = False
-        """Whether the sender's picture still showed the place when it heard of the new beginning."""
+        """Whether the sender's cluster state still showed the place when it heard of the new beginning."""
         self.places = Places(model)
         self.troubles = Troubles(model, Kind("fold", also=self._frees), fate, armed=False, late_s=(5.0, 8.0))
         self.newer = submission("job-2", pieces=1, crew="free", hulls=["big"])
@@ -156,7 +156,7 @@
             worker.tasks.clear()
             worker.token = 0
         sender = self.model.hosts[int(self.troubles.meetings[0].transaction.source[1:])]
-        holds = sender.core.picture.machines[self.machine].holds
+        holds = sender.core.cluster_state.machines[self.machine].holds
         self.held_when_heard = any(hold.job == JOB for hold in holds)
         self.model.copy_arrives(self.machine, sender.number, worker.report())
         # A newer transaction of the same sender.
@@ -389,11 +389,11 @@
     """A controller moves the record of the job, which is done, once it has read it."""
 
     def known(play: Play) -> bool:
-        return SEARCHED_JOB in play.nodes[node].core.picture.jobs
+        return SEARCHED_JOB in play.nodes[node].core.cluster_state.jobs
 
     def end(play: Play) -> None:
         def build(core: Any) -> Txn | None:
-            job = core.picture.jobs.get(SEARCHED_JOB)
+            job = core.cluster_state.jobs.get(SEARCHED_JOB)
             return None if job is None else end_job(Txn(), job, "done", job.spec.tasks, 0)
 
         play.commit(node, build)
--- a/tests/test_meetings_leaders.py
+++ b/tests/test_meetings_leaders.py
@@ -253,7 +253,7 @@
     # The meeting: the zone's controller goes on renewing, and has not read of the cancellations.
     kept = [name for name in tended if model.owner(name) == 2]
     assert kept and all(model.workers[name].renewed_us > cut_us + 2 * SECOND for name in kept)
-    assert model.hosts[2].core.picture.jobs.keys() >= set(ids)
+    assert model.hosts[2].core.cluster_state.jobs.keys() >= set(ids)
     model.run(LEASE_S)
     model.run(max(seconds, CANCEL_S))
     assert all(model.jobs[job_id].told == "cancelled" for job_id in ids)
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -158,8 +158,8 @@
         model.run(STEP_S)
         senders = launches_of(model, "job-50")
     # The meeting: what is placed is the whole limit, and the start of a part of it is under way at the cancellation.
-    picture = model.hosts[0].core.picture
-    placed = picture.team_usage("crew")[0]
+    cluster_state = model.hosts[0].core.cluster_state
+    placed = cluster_state.team_usage("crew")[0]
     former = sorted(senders)[0]
     model.nodes = [number for number in range(3) if number != former]
     if how is not None:
@@ -184,8 +184,8 @@
     model.run(60)
     changes = model.state.revision
     assert model.use() == TEAM["cpus_max"]
-    waiting = model.hosts[0].core.picture.waiting()
-    assert {model.hosts[0].core.picture.jobs[job_id].record.owner for job_id in waiting} != set()
+    waiting = model.hosts[0].core.cluster_state.waiting()
+    assert {model.hosts[0].core.cluster_state.jobs[job_id].record.owner for job_id in waiting} != set()
     model.run(20)
     # Nor are shares moved to and fro, at four changes a second.
     assert model.state.revision - changes < 20
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -20,7 +20,7 @@
 from ashtray.kernel import Fiber, Kernel, Reply, Signal, Wait
 from ashtray.placement.cluster_state import MAX_OVER
 from ashtray.placement.minimum_share import MOST as MOST_SERVED
-from ashtray.placement.records import EPS
+from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.state_keys import GROUP
 from tests import model as model_module
 from tests.fakes.worker import Key
@@ -172,7 +172,7 @@
 
 
 HISTORIES = {
-    "Picture.over": MAX_OVER,
+    "ClusterState.over": MAX_OVER,
     "MinimumShare._served": MOST_SERVED,
     "Estimates._medians": MOST_MEDIANS,
     "Estimates._jobs": MOST_JOBS,
@@ -297,7 +297,7 @@
     refused, jobs, waiting = model.state.over_rate, len(model.jobs), 0
     for _ in range(seconds):
         model.run(1)
-        waiting = max(waiting, *(len(host.core.picture.waiting()) for host in model.hosts))
+        waiting = max(waiting, *(len(host.core.cluster_state.waiting()) for host in model.hosts))
     changes, jobs = Counter(model.changes), len(model.jobs) - jobs
     refused = model.state.over_rate - refused
     model.run(20)
@@ -387,7 +387,10 @@
         for space in spaces:
             allowed = spec["hulls"] is None or space.type in spec["hulls"]
             if allowed and spec["yard"] in (None, space.zone) and (spec["loaners"] or not space.spot):
-                number = min((space.cpus + EPS) // spec["cpus"], (space.memory_gb + EPS) // spec["memory_gb"])
+                number = min(
+                    (space.cpus + AMOUNT_TOLERANCE) // spec["cpus"],
+                    (space.memory_gb + AMOUNT_TOLERANCE) // spec["memory_gb"],
+                )
                 if number > 0:
                     places[space.name] = int(number)
         return places
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -19,10 +19,10 @@
 from ashtray.jobs.model import LIVE, Job, JobRecord, JobSpec
 from ashtray.kernel import Call, Reply
 from ashtray.placement import compact_record
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan
 from ashtray.placement.preemption import Right, Victims, choose_victims
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import ADOPTED, GROUP
 from ashtray.runs import decode_runs
 from ashtray.store.client import Limits
@@ -251,14 +251,14 @@
     sender = model.hosts[int(model.unanswered[0].source[1:])]
     ended = sender if who == "owner" else model.leader()
     assert ended is not None
-    term = model.hosts[(ended.number + 1) % 3].core.picture.fleet
+    term = model.hosts[(ended.number + 1) % 3].core.cluster_state.fleet
     model.crash(ended.number, CRASH_BACK_S)
     model.run(8)
     # The meeting: writes were struck before and while another controller took over.
     assert model.unanswered
     if who == "runner":
         leader = model.leader()
-        assert leader is not None and leader.core.picture.fleet != term
+        assert leader is not None and leader.core.cluster_state.fleet != term
     busy = {start.machine for starts in model.task_starts.values() for start in starts}
     settle(model)
     assert all(len(model.groups_of(name)) <= 1 for name in model.workers)
@@ -774,28 +774,28 @@
 
 def full_zones(gang: dict[str, Any], machines: dict[str, int]) -> tuple[Plan, Job]:
     """A fleet of two zones full of idle work, and an urgent gang that waits."""
-    picture = Picture()
-    picture.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a", "b"))}
+    cluster_state = ClusterState()
+    cluster_state.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a", "b"))}
     wants = JobSpec("any", "free", "gang", 1, gang.pop("tasks"), 4.0, 0.0, 1.0, "img", 1.0, **gang)
     idle = JobSpec("any", "free", "array", 3, 20, 4.0, 0.0, 1.0, "img", 1.0)
     for version, (job_id, spec) in enumerate({"job-1": wants, "job-2": idle}.items(), 1):
-        picture.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
+        cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
     task = 0
     for version, (zone, number) in enumerate(machines.items(), 3):
         records = {}
         for n in range(number):
             # Which zone's work is younger, and so costs less, alternates from machine to machine.
             placed_us = 10 * n + (n % 2 if zone == "a" else 1 - n % 2)
-            hold = HoldRecord("job-2", 1, str(task), "free", 4.0, 0.0, 1.0, placed_us)
+            hold = AllocationRecord("job-2", 1, str(task), "free", 4.0, 0.0, 1.0, placed_us)
             records[f"vm-{zone}{n}"] = MachineRecord("x:1", holds=[hold])
             task += 1
-        picture.put(GROUP + zone, msgspec.to_builtins(GroupRecord("small", zone, records)), version)
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
-    return plan, picture.jobs["job-1"]
+        cluster_state.put(GROUP + zone, msgspec.to_builtins(GroupRecord("small", zone, records)), version)
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
+    return plan, cluster_state.jobs["job-1"]
 
 
 def victims_for(plan: Plan, job: Job) -> Victims:
-    right = Right(plan.picture, set(), job, plan.excess())
+    right = Right(plan.cluster_state, set(), job, plan.excess())
     return choose_victims(plan, job, job.spec.tasks, right, 1000, None)
 
 
@@ -907,16 +907,16 @@
 
 
 def test_a_job_of_one_zone_is_not_kept_from_the_other_by_one_that_is_bound_to_a_full_zone():
-    picture = Picture()
-    picture.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a", "b"))}
+    cluster_state = ClusterState()
+    cluster_state.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a", "b"))}
     spec = JobSpec("any", "free", "array", 2, 3, 4.0, 0.0, 1.0, "img", 1.0, same_zone=True)
     for version, job_id in enumerate(("job-1", "job-2"), 1):
-        picture.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
-    hold = HoldRecord("job-1", 1, "0", "free", 4.0, 0.0, 1.0, 0)
+        cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
+    hold = AllocationRecord("job-1", 1, "0", "free", 4.0, 0.0, 1.0, 0)
     full = {"vm-a0": MachineRecord("x:1", holds=[hold])}
-    picture.put(GROUP + "a", msgspec.to_builtins(GroupRecord("small", "a", full)), 3)
-    picture.put(GROUP + "b", msgspec.to_builtins(GroupRecord("small", "b", {"vm-b0": MachineRecord("x:1")})), 4)
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
+    cluster_state.put(GROUP + "a", msgspec.to_builtins(GroupRecord("small", "a", full)), 3)
+    cluster_state.put(GROUP + "b", msgspec.to_builtins(GroupRecord("small", "b", {"vm-b0": MachineRecord("x:1")})), 4)
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
     # The first has a task in zone a, where there is no room; the second, which is like it, has none yet.
-    assert plan.place(picture.jobs["job-1"], 2, 0.0) == []
-    assert [(room.machine.name, n) for room, n in plan.place(picture.jobs["job-2"], 3, 0.0)] == [("vm-b0", 1)]
+    assert plan.place(cluster_state.jobs["job-1"], 2, 0.0) == []
+    assert [(room.machine.name, n) for room, n in plan.place(cluster_state.jobs["job-2"], 3, 0.0)] == [("vm-b0", 1)]
--- a/tests/test_meetings_odd_requests.py
+++ b/tests/test_meetings_odd_requests.py
@@ -312,9 +312,9 @@
     def known(self, number: int) -> str:
         """How much a controller knows of the types."""
         core = self.model.hosts[number].core
-        if core is None or not core.picture.types:
+        if core is None or not core.cluster_state.types:
             return "none"
-        return "all" if TYPES in core.picture._types else "some"
+        return "all" if TYPES in core.cluster_state._types else "some"
 
     def send(self, seconds: float, every_s: float = 0.01) -> None:
         """Submit jobs of all three sorts to all controllers from now on."""
@@ -410,7 +410,7 @@
     # The writing came to an end before its time.
     assert model.happened["answer lost"] >= 1 and TYPES not in model.state.keys
     model.run(15)
-    assert all(host.core.picture.types_complete for host in model.hosts)
+    assert all(host.core.cluster_state.types_complete for host in model.hosts)
     users.send(1.0, every_s=0.25)
     model.run(5)
     assert users.answered("last", "all", 201) == users.answered("none", "all", 422) == {0, 1, 2}
@@ -426,7 +426,7 @@
         model.run(75)
         names = {kind["name"] for kind in following}
         for host in model.hosts:
-            assert set(host.core.picture.types) == names and host.core.picture.types_complete
+            assert set(host.core.cluster_state.types) == names and host.core.cluster_state.types_complete
         records = [key for key in model.state.keys if key.startswith(TYPES)]
         assert len(records) == (1 if len(names) < 3 else len(names) + 1)
     assert not model.state.refused
@@ -451,7 +451,7 @@
         model._ask("POST", "/submissions", body, 5, lambda reply: heard.append((job_id, node, reply.status)), node)
 
     for node in range(hosts):
-        assert LARGE not in model.hosts[node].core.picture.types
+        assert LARGE not in model.hosts[node].core.cluster_state.types
         ask("job-1", node)
         ask("job-2", node)
     model.run(5)
--- a/tests/test_meetings_ownership.py
+++ b/tests/test_meetings_ownership.py
@@ -149,7 +149,8 @@
 
 @pytest.mark.parametrize("seed", some([3, 4], range(5, 20)))
 def test_an_old_session_s_end_of_a_task_frees_nothing_that_a_later_owner_has_started_again(seed: int) -> None:
-    # Found by reading: the former owner, whose picture did not show the new one's token yet, freed the task's place.
+    # Found by reading: the former owner, whose cluster state did not show the new one's token yet, freed the
+    # task's place.
     model = Meeting(seed)
     model.begin([batch(0, pieces=1, cpus=3.0), batch(1, pieces=2, cpus=1.0)])
     # Long enough that a machine which comes from its owner is sent back there at first.
@@ -159,18 +160,18 @@
     assert former is not None
     worker = model.workers[name]
     session = worker.session
-    old_token = model.hosts[former].core.picture.machines[name].record.token
+    old_token = model.hosts[former].core.cluster_state.machines[name].record.token
     kept = reports_kept_back(model, name, former)
     worker.fails = True
     model.at(3 * SECOND, lambda: setattr(worker, "fails", False))
-    others = [host.core.picture for host in model.hosts if host.number != former]
+    others = [host.core.cluster_state for host in model.hosts if host.number != former]
     for _ in range(20_000):
         model.run(0.001)
-        if any(picture.machines[name].record.token > old_token for picture in others):
+        if any(cluster_state.machines[name].record.token > old_token for cluster_state in others):
             break
     # The meeting: the new owner has signed, which the former has not read; the old reports say that all has ended.
     assert worker.session == session + 1
-    assert model.hosts[former].core.picture.machines[name].record.token == old_token
+    assert model.hosts[former].core.cluster_state.machines[name].record.token == old_token
     assert kept and {piece["status"] for piece in kept[-1]["pieces"]} == {"ended"}
     for report in (kept[0], kept[-1]):
         model.copy_arrives(name, former, report)
@@ -179,7 +180,7 @@
     # A kill that would follow if the place were freed does not come through.
     model.hang([name], 6)
     model.run(20)
-    assert model.hosts[former].core.picture.jobs["job-0"].record.attempt == 1
+    assert model.hosts[former].core.cluster_state.jobs["job-0"].record.attempt == 1
     assert model.machines_of("job-0") == {name}
 
 
--- a/tests/test_meetings_quick_boots.py
+++ b/tests/test_meetings_quick_boots.py
@@ -51,14 +51,14 @@
             self.with_tasks.append(name)
         cores = [host.core for host in self.model.hosts if host.core is not None]
         last_us = max((core.desk.heard_us().get(name, 0) for core in cores), default=0)
-        recorded = any(name in core.picture.machines for core in cores)
+        recorded = any(name in core.cluster_state.machines for core in cores)
         if not recorded and self.model.now + SECOND - last_us < LEASE_S * SECOND:
             self.heard.append(name)
 
 
 def unrecorded_s(model: Model) -> float:
     """The longest time since a machine that is up has had no record."""
-    known = {name for host in model.hosts if host.core is not None for name in host.core.picture.machines}
+    known = {name for host in model.hosts if host.core is not None for name in host.core.cluster_state.machines}
     machines = [model.cloud.machines[name] for name in model.workers if name not in known]
     return max((model.now - machine.since_us - machine.boot_us for machine in machines), default=0) / SECOND
 
--- a/tests/test_meetings_steady_load.py
+++ b/tests/test_meetings_steady_load.py
@@ -43,7 +43,7 @@
         model.run(1)
         if all(host.core is not None for host in model.hosts):
             queued = max(queued, model.queues())
-            waiting = max(waiting, *(len(host.core.picture.waiting()) for host in model.hosts))
+            waiting = max(waiting, *(len(host.core.cluster_state.waiting()) for host in model.hosts))
     return queued, waiting
 
 
--- a/tests/test_meetings_team_limits.py
+++ b/tests/test_meetings_team_limits.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.state_keys import TEAM as TEAM_KEY
 from tests import model as models
 from tests.meeting_model import Meeting, batch, busiest, some
@@ -37,18 +37,18 @@
         super().__init__(seed, hosts)
         self.compare_records()
 
-    def recorded(self) -> Picture:
+    def recorded(self) -> ClusterState:
         """What somebody who remembers nothing reads in the state service now."""
-        picture = Picture()
+        cluster_state = ClusterState()
         for key, (value, revision, _) in sorted(self.state.keys.items()):
             if key.startswith("ashtray/now/"):
-                picture.put(key, value, revision)
-        return picture
+                cluster_state.put(key, value, revision)
+        return cluster_state
 
     def compare_records(self) -> None:
         """Four times a second: all that is on machines is counted as used in the records, for each team."""
-        picture = self.recorded()
-        crew, render = picture.team_usage("crew")[0], picture.team_usage(RENDER.name)[1]
+        cluster_state = self.recorded()
+        crew, render = cluster_state.team_usage("crew")[0], cluster_state.team_usage(RENDER.name)[1]
         if crew < self.use() or render < self.cards():
             used = f"{self.use()} CPUs and {self.cards()} GPUs"
             raise RuleBroken(f"uncounted: {used} on machines, {crew} and {render} in the records")
@@ -128,7 +128,7 @@
 
 def lingered(model: TeamLimits, ids: list[str], names: set[str]) -> bool:
     """Whether tasks of each cancelled job are on machines out of reach still, and count in the records."""
-    held = model.recorded().held
+    held = model.recorded().allocations
     return all(model.machines_of(job_id) & names and job_id in held for job_id in ids)
 
 
--- a/tests/test_meetings_waiting.py
+++ b/tests/test_meetings_waiting.py
@@ -75,7 +75,7 @@
     model.run(5)
     grants = model.hosts[1].core.grants
     shares = {name: grants._shares("crew")[name][0] for name in grants.hosts}
-    waits = set(model.hosts[1].core.picture.waiting())
+    waits = set(model.hosts[1].core.cluster_state.waiting())
     used = model.use()
     model.long.add("job-60")
     submit_to(model, 1, batch(60, crew="crew", pieces=2, cpus=cpus, memory_gb=0.5, yard="a"))
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -11,10 +11,10 @@
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
 from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import queue
 from ashtray.placement.queue_order import AGED, BEGIN_SHARE, BEGIN_US, PATIENT, StatedTimes
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 
 AIMS = [
@@ -27,19 +27,19 @@
 TEAMS = ("studio", "reader")
 
 
-def picture_of(jobs: list[tuple[str, float, int, str]]) -> Picture:
+def cluster_state_of(jobs: list[tuple[str, float, int, str]]) -> ClusterState:
     """Jobs by class, age in seconds, priority and team; they run for some 20 s."""
-    picture = Picture()
+    cluster_state = ClusterState()
     for n, (name, age_s, priority, team) in enumerate(jobs):
         spec = JobSpec(name, team, "gang", priority, 3, 1.0, 0.0, 1.0, "img", 0.0, estimate_us=20 * SECOND_US)
         record = JobRecord(spec, "berth-0", NOW_US - int(age_s * SECOND_US))
-        picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(record), n + 1)
-    return picture
+        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(record), n + 1)
+    return cluster_state
 
 
 def order(jobs: list[tuple[str, float, int, str]], aims: list[Objective] = AIMS) -> list[int]:
     times = StatedTimes(aims, Pace(aims, 6.0))
-    found, _ = queue(picture_of(jobs), {}, times, NOW_US)
+    found, _ = queue(cluster_state_of(jobs), {}, times, NOW_US)
     return [int(job.id.removeprefix("job-")) for job in found]
 
 
@@ -66,12 +66,12 @@
 
 def test_a_time_that_it_could_never_make_is_not_missed():
     # Found in a recorded day (inc-5d39): it went behind everything that came later.
-    picture = picture_of([("pages", 20.0, 1, "studio"), ("pages", 10.0, 1, "studio")])
-    long = picture.jobs["job-0"]
+    cluster_state = cluster_state_of([("pages", 20.0, 1, "studio"), ("pages", 10.0, 1, "studio")])
+    long = cluster_state.jobs["job-0"]
     long.spec.estimate_us = 300 * SECOND_US
     times = StatedTimes(AIMS, Pace(AIMS, 6.0))
-    assert times.standing(long, picture, NOW_US).missed == 0
-    assert [job.id for job in queue(picture, {}, times, NOW_US)[0]] == ["job-0", "job-1"]
+    assert times.standing(long, cluster_state, NOW_US).missed == 0
+    assert [job.id for job in queue(cluster_state, {}, times, NOW_US)[0]] == ["job-0", "job-1"]
 
 
 def test_classes_without_stated_times_keep_their_turns():
@@ -85,19 +85,19 @@
     assert order(jobs) == [0, 3, 2, 1, 4]
 
 
-def panels(sizes: list[int], ages: list[float], runs_s: list[float] | None = None) -> Picture:
+def panels(sizes: list[int], ages: list[float], runs_s: list[float] | None = None) -> ClusterState:
     """Arrays of a class without stated times, of so many tasks each."""
-    picture = Picture()
+    cluster_state = ClusterState()
     for n, (tasks, age_s) in enumerate(zip(sizes, ages, strict=True)):
         run_us = int((runs_s[n] if runs_s else 20.0) * SECOND_US)
         spec = JobSpec("panels", "reader", "array", 3, tasks, 10.0, 1.0, 36.0, "img", 0.0, estimate_us=run_us)
         record = JobRecord(spec, "berth-0", NOW_US - int(age_s * SECOND_US))
-        picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(record), n + 1)
-    return picture
+        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(record), n + 1)
+    return cluster_state
 
 
-def served(picture: Picture) -> list[int]:
-    found, _ = queue(picture, {}, StatedTimes(AIMS, Pace(AIMS, 6.0)), NOW_US)
+def served(cluster_state: ClusterState) -> list[int]:
+    found, _ = queue(cluster_state, {}, StatedTimes(AIMS, Pace(AIMS, 6.0)), NOW_US)
     return [int(job.id.removeprefix("job-")) for job in found]
 
 
@@ -108,61 +108,69 @@
 
 
 def test_what_is_begun_is_ended_first():
-    picture = panels([40, 30], [5.0, 9.0])
-    holds = [HoldRecord("job-0", 1, "0-14", "reader", 10.0, 1.0, 36.0, NOW_US)]
+    cluster_state = panels([40, 30], [5.0, 9.0])
+    holds = [AllocationRecord("job-0", 1, "0-14", "reader", 10.0, 1.0, 36.0, NOW_US)]
     group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
-    picture.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
-    assert served(picture) == [0, 1]
+    cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
+    assert served(cluster_state) == [0, 1]
 
 
 def test_the_largest_array_does_not_wait_for_ever():
     # It has waited twenty times as long as a task of it runs, and the run's start.
-    picture = panels([150, 3, 2], [PATIENT * 26.0, 4.0, 9.0])
-    holds = [HoldRecord("job-0", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
+    cluster_state = panels([150, 3, 2], [PATIENT * 26.0, 4.0, 9.0])
+    holds = [AllocationRecord("job-0", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
     group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
-    picture.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
-    assert served(picture) == [0, 2, 1]
+    cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
+    assert served(cluster_state) == [0, 2, 1]
 
 
 def test_what_has_not_begun_after_most_of_the_four_minutes_goes_first_until_it_has():
     late_s = BEGIN_SHARE * BEGIN_US / SECOND_US
-    picture = panels([150, 3, 120, 2], [late_s + 9, 4.0, late_s + 30, late_s - 1])
-    assert served(picture) == [2, 0, 3, 1]
-    holds = [HoldRecord("job-2", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
+    cluster_state = panels([150, 3, 120, 2], [late_s + 9, 4.0, late_s + 30, late_s - 1])
+    assert served(cluster_state) == [2, 0, 3, 1]
+    holds = [AllocationRecord("job-2", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
     group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
-    picture.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
-    assert served(picture) == [0, 3, 1, 2]
+    cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
+    assert served(cluster_state) == [0, 3, 1, 2]
     # What it has done is a beginning as well.
     done = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x")}, {"job-2": "7"})
-    picture.put(f"{GROUP}1", msgspec.to_builtins(done), 10)
-    assert served(picture) == [0, 3, 1, 2]
+    cluster_state.put(f"{GROUP}1", msgspec.to_builtins(done), 10)
+    assert served(cluster_state) == [0, 3, 1, 2]
 
 
 def test_a_deadline_or_an_aim_keeps_its_turn_by_age():
     jobs = [("pages", 3.0, 1, "studio"), ("other", 9.0, 1, "studio"), ("other", 5.0, 1, "studio")]
-    picture = picture_of(jobs)
-    picture.jobs["job-1"].spec.tasks = 50
-    picture.jobs["job-1"].latest_us = NOW_US + 30 * SECOND_US
-    picture.jobs["job-2"].spec.tasks = 2
-    found, _ = queue(picture, {}, StatedTimes(AIMS, Pace(AIMS, 6.0)), NOW_US)
+    cluster_state = cluster_state_of(jobs)
+    cluster_state.jobs["job-1"].spec.tasks = 50
+    cluster_state.jobs["job-1"].latest_us = NOW_US + 30 * SECOND_US
+    cluster_state.jobs["job-2"].spec.tasks = 2
+    found, _ = queue(cluster_state, {}, StatedTimes(AIMS, Pace(AIMS, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-1", "job-2", "job-0"]
 
 
 def test_an_array_with_an_aim_on_being_done_alone_keeps_its_turn_too():
     # It has missed nothing that it could be put back for, and must not go before all that have.
     aims = [*AIMS, Objective("finished", "models", 180.0, 0.95)]
-    picture = picture_of([("pages", 90.0, 1, "studio"), ("models", 50.0, 1, "studio"), ("pages", 40.0, 1, "studio")])
-    picture.jobs["job-1"].spec.kind = "array"
-    found, _ = queue(picture, {}, StatedTimes(aims, Pace(aims, 6.0)), NOW_US)
+    cluster_state = cluster_state_of(
+        [("pages", 90.0, 1, "studio"), ("models", 50.0, 1, "studio"), ("pages", 40.0, 1, "studio")]
+    )
+    cluster_state.jobs["job-1"].spec.kind = "array"
+    found, _ = queue(cluster_state, {}, StatedTimes(aims, Pace(aims, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-0", "job-1", "job-2"]
 
 
 def test_a_stage_whose_end_can_still_be_in_time_is_not_put_back():
-    picture = picture_of([("pages", 100.0, 1, "studio"), ("pages", 20.0, 1, "studio"), ("pages", 90.0, 1, "studio")])
-    picture.jobs["job-0"].latest_us = NOW_US + SECOND_US
-    picture.jobs["job-2"].latest_us = NOW_US - SECOND_US
+    cluster_state = cluster_state_of(
+        [("pages", 100.0, 1, "studio"), ("pages", 20.0, 1, "studio"), ("pages", 90.0, 1, "studio")]
+    )
+    cluster_state.jobs["job-0"].latest_us = NOW_US + SECOND_US
+    cluster_state.jobs["job-2"].latest_us = NOW_US - SECOND_US
     times = StatedTimes(AIMS, Pace(AIMS, 6.0))
-    assert [times.standing(picture.jobs[f"job-{n}"], picture, NOW_US).band for n in (0, 1, 2)] == [0, 0, 1]
+    assert [times.standing(cluster_state.jobs[f"job-{n}"], cluster_state, NOW_US).band for n in (0, 1, 2)] == [
+        0,
+        0,
+        1,
+    ]
 
 
 JOB = st.tuples(st.sampled_from(["pages", "other"]), st.floats(0, 500), st.integers(0, 3), st.sampled_from(TEAMS))
@@ -180,6 +188,6 @@
 
 @pytest.mark.parametrize(("age_s", "missed", "aged"), [(20.0, 0, False), (40.0, 1, False), (410.0, 3, True)])
 def test_how_a_job_stands(age_s: float, missed: int, aged: bool):
-    picture = picture_of([("pages", age_s, 1, "studio")])
-    standing = StatedTimes(AIMS, Pace(AIMS, 6.0)).standing(picture.jobs["job-0"], picture, NOW_US)
+    cluster_state = cluster_state_of([("pages", age_s, 1, "studio")])
+    standing = StatedTimes(AIMS, Pace(AIMS, 6.0)).standing(cluster_state.jobs["job-0"], cluster_state, NOW_US)
     assert (standing.missed, standing.stated, standing.aged) == (missed, 3, aged)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,7 +7,7 @@
 from ashtray.jobs.messages import Malformed, parse_submission
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
 from ashtray.kernel import Reply
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from tests.model import Model, submission
 
 SECOND = 1_000_000
@@ -47,10 +47,10 @@
     model.run(1)
     model.submit(submission("job-1", pieces=4, waits_on=["job-0"]))
     model.run(25)
-    picture = model.hosts[1].core.picture
+    cluster_state = model.hosts[1].core.cluster_state
     assert model.jobs["job-1"].accepted_us is not None
-    assert "job-1" not in picture.waiting()
-    assert not picture.placed("job-1")
+    assert "job-1" not in cluster_state.waiting()
+    assert not cluster_state.placed("job-1")
     assert len(model.workers) == 1
     status, body = ask(model, submission("job-1"))
     assert (status, body["status"]) == (200, "pending")
@@ -138,36 +138,36 @@
 
 
 def test_stages_rank_as_the_most_urgent_job_that_needs_them_while_it_is_there():
-    picture = Picture()
-    put(picture, "job-1", 3, estimate_us=SECOND)
-    put(picture, "job-2", 3, needs=["job-1"], estimate_us=SECOND)
-    put(picture, "job-3", 1, needs=["job-2"], deadline_us=100 * SECOND, estimate_us=10 * SECOND)
-    jobs = picture.jobs
+    cluster_state = ClusterState()
+    put(cluster_state, "job-1", 3, estimate_us=SECOND)
+    put(cluster_state, "job-2", 3, needs=["job-1"], estimate_us=SECOND)
+    put(cluster_state, "job-3", 1, needs=["job-2"], deadline_us=100 * SECOND, estimate_us=10 * SECOND)
+    jobs = cluster_state.jobs
     assert [jobs[f"job-{n}"].priority for n in (1, 2, 3)] == [1, 1, 1]
     assert jobs["job-1"].latest_us < jobs["job-2"].latest_us < jobs["job-3"].latest_us
-    put(picture, "job-1", 3, version=9)
+    put(cluster_state, "job-1", 3, version=9)
     assert jobs["job-1"].priority == 1
-    picture.remove(LIVE + "job-3", 10)
+    cluster_state.remove(LIVE + "job-3", 10)
     assert [jobs[f"job-{n}"].priority for n in (1, 2)] == [3, 3]
     assert jobs["job-1"].latest_us is None
 
 
 def test_times_count_from_the_moment_when_the_last_needed_job_was_done():
-    picture = Picture()
-    put(picture, "job-1", 2)
-    put(picture, "job-2", 2, needs=["job-1", "job-0"])
-    picture.put(OVER + "job-0", {"status": "done", "done": 1}, 5)
-    assert not picture.dependencies.ready(picture.jobs["job-2"])
-    picture.put(OVER + "job-1", {"status": "done", "done": 1, "at_us": 77 * SECOND}, 6)
-    picture.remove(LIVE + "job-1", 6)
-    assert picture.dependencies.ready(picture.jobs["job-2"])
-    assert picture.jobs["job-2"].ready_us == 77 * SECOND
-    assert picture.waiting() == {"job-2": [0]}
-
-
-def put(picture, job_id: str, priority: int, version: int = 3, **over) -> None:
+    cluster_state = ClusterState()
+    put(cluster_state, "job-1", 2)
+    put(cluster_state, "job-2", 2, needs=["job-1", "job-0"])
+    cluster_state.put(OVER + "job-0", {"status": "done", "done": 1}, 5)
+    assert not cluster_state.dependencies.ready(cluster_state.jobs["job-2"])
+    cluster_state.put(OVER + "job-1", {"status": "done", "done": 1, "at_us": 77 * SECOND}, 6)
+    cluster_state.remove(LIVE + "job-1", 6)
+    assert cluster_state.dependencies.ready(cluster_state.jobs["job-2"])
+    assert cluster_state.jobs["job-2"].ready_us == 77 * SECOND
+    assert cluster_state.waiting() == {"job-2": [0]}
+
+
+def put(cluster_state, job_id: str, priority: int, version: int = 3, **over) -> None:
     spec = JobSpec("any", "crew", "array", priority, 1, 1.0, 0.0, 1.0, "img", 1.0, **over)
-    picture.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), version)
+    cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), version)
 
 
 def test_the_next_stage_does_not_wait_for_lazy_folds():
@@ -193,13 +193,13 @@
 
 
 def test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved():
-    picture = Picture()
-    put(picture, "job-0", 2)
+    cluster_state = ClusterState()
+    put(cluster_state, "job-0", 2)
     for n in range(1, 5):
-        put(picture, f"job-{n}", 2, needs=[f"job-{n - 1}"])
-    picture.put(OVER + "job-0", {"status": "cancelled", "done": 0}, 5)
-    picture.remove(LIVE + "job-0", 5)
-    assert set(picture.dependencies.cancelled_by) == {"job-1", "job-2", "job-3", "job-4"}
+        put(cluster_state, f"job-{n}", 2, needs=[f"job-{n - 1}"])
+    cluster_state.put(OVER + "job-0", {"status": "cancelled", "done": 0}, 5)
+    cluster_state.remove(LIVE + "job-0", 5)
+    assert set(cluster_state.dependencies.cancelled_by) == {"job-1", "job-2", "job-3", "job-4"}
 
 
 def blind(model: Model, number: int) -> list[bool]:
@@ -268,7 +268,7 @@
 
 
 def test_a_change_whose_answer_comes_late_brings_nothing_back():
-    # What was read since may include its end: it stood in the picture for ever, and was placed again and again.
+    # What was read since may include its end: it stood in the cluster state for ever, and was placed again and again.
     model = started()
     late: list = []
     send = model.send
@@ -289,16 +289,16 @@
     assert reply.status == 200
     deliver(reply)
     model.run(0.3)
-    assert not at.core.picture.jobs
+    assert not at.core.cluster_state.jobs
 
 
 def test_what_this_process_removed_does_not_come_back_with_an_older_round():
-    picture = Picture()
-    picture.read(3)
-    put(picture, "job-1", 2, version=4)
-    picture.remove(LIVE + "job-1", 6)
-    put(picture, "job-1", 2, version=5)
-    assert not picture.jobs
-    picture.read(6)
-    put(picture, "job-1", 2, version=7)
-    assert list(picture.jobs) == ["job-1"]
+    cluster_state = ClusterState()
+    cluster_state.read(3)
+    put(cluster_state, "job-1", 2, version=4)
+    cluster_state.remove(LIVE + "job-1", 6)
+    put(cluster_state, "job-1", 2, version=5)
+    assert not cluster_state.jobs
+    cluster_state.read(6)
+    put(cluster_state, "job-1", 2, version=7)
+    assert list(cluster_state.jobs) == ["job-1"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The picture, the plan and preemption."""
+"""The cluster state, the plan and preemption."""
 
 import random
 
@@ -10,9 +10,9 @@
 from ashtray.kernel import Kernel
 from ashtray.placement import group_index, task_index
 from ashtray.placement import placer as placer_module
-from ashtray.placement.cluster_state import Picture
+from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan, queue
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord, MachineType
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import Limits
 from ashtray.workers.folding import Evidence, Fold
@@ -20,30 +20,30 @@
 from tests.model import Model, submission
 
 
-def hold(tasks: str, stop_us: int = -1, job: str = "job-1", attempt: int = 1) -> HoldRecord:
-    return HoldRecord(job, attempt, tasks, "crew", 1.0, 0.0, 1.0, 0, stop_us)
+def hold(tasks: str, stop_us: int = -1, job: str = "job-1", attempt: int = 1) -> AllocationRecord:
+    return AllocationRecord(job, attempt, tasks, "crew", 1.0, 0.0, 1.0, 0, stop_us)
 
 
-def picture_with(*holds: HoldRecord) -> Picture:
-    picture = Picture()
+def cluster_state_with(*holds: AllocationRecord) -> ClusterState:
+    cluster_state = ClusterState()
     record = GroupRecord("small", "a", {"vm-1": MachineRecord("vm-1:1", holds=list(holds))})
-    picture.put(GROUP + "g", msgspec.to_builtins(record), 5)
-    return picture
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(record), 5)
+    return cluster_state
 
 
 def test_tasks_stopped_one_after_the_other_all_count_as_placed():
     # Found on a simulated day: two holds of one attempt with the same time to save hid one another.
-    picture = picture_with(hold("0"), hold("1", stop_us=0), hold("2", stop_us=0))
-    assert picture.placed("job-1") == {0, 1, 2}
-    picture.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {})), 6)
-    assert picture.placed("job-1") == set()
-    assert not picture.held
+    cluster_state = cluster_state_with(hold("0"), hold("1", stop_us=0), hold("2", stop_us=0))
+    assert cluster_state.placed("job-1") == {0, 1, 2}
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {})), 6)
+    assert cluster_state.placed("job-1") == set()
+    assert not cluster_state.allocations
 
 
 def test_an_older_version_does_not_replace_a_newer_one():
-    picture = picture_with(hold("0-3"))
-    picture.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {})), 4)
-    assert picture.placed("job-1") == {0, 1, 2, 3}
+    cluster_state = cluster_state_with(hold("0-3"))
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {})), 4)
+    assert cluster_state.placed("job-1") == {0, 1, 2, 3}
 
 
 def test_a_job_of_100_000_tasks_keeps_its_record_within_a_value():
@@ -52,8 +52,8 @@
     model.submit(submission("job-0", pieces=100_000, cpus=0.001, memory_gb=0.001, crew="free"))
     model.run(15)
     core = model.hosts[0].core
-    job = core.picture.jobs["job-0"]
-    placed = core.picture.placed("job-0")
+    job = core.cluster_state.jobs["job-0"]
+    placed = core.cluster_state.placed("job-0")
     assert 0 < len(placed) <= 40 * 32
     # The worst that can be finished by then: every other task up to the highest placed.
     worst = job.value(finished=set(range(0, max(placed) + 1, 2)))
@@ -70,51 +70,51 @@
     return Evidence(Report(machine, f"{machine}:1", "small", "a", False, 1, 9, 7, None, seen), 7, True)
 
 
-def folded(picture: Picture, evidence: dict[str, Evidence], limits: Limits):
-    fold = Fold(Kernel(None), picture, limits)
-    for group in picture.groups.values():
+def folded(cluster_state: ClusterState, evidence: dict[str, Evidence], limits: Limits):
+    fold = Fold(Kernel(None), cluster_state, limits)
+    for group in cluster_state.groups.values():
         fold.add(group, evidence, evidence)
     return fold.transaction()
 
 
-def two_groups(tasks: int) -> Picture:
-    picture = Picture()
-    picture.put(LIVE + "job-1", array(tasks), 3)
+def two_groups(tasks: int) -> ClusterState:
+    cluster_state = ClusterState()
+    cluster_state.put(LIVE + "job-1", array(tasks), 3)
     for n, runs in enumerate(("0-1", "2-3")):
         record = GroupRecord("small", "a", {f"vm-{n}": MachineRecord(f"vm-{n}:1", token=7, holds=[hold(runs)])})
-        picture.put(f"{GROUP}{n}", msgspec.to_builtins(record), 5 + n)
-    return picture
+        cluster_state.put(f"{GROUP}{n}", msgspec.to_builtins(record), 5 + n)
+    return cluster_state
 
 
 def test_completed_tasks_of_an_array_cost_its_group_only_and_are_not_placed_again():
-    picture = two_groups(5)
-    txn = folded(picture, {"vm-0": ended("vm-0", {0: "done", 1: "done"})}, Limits(16, 60_000, 32_768))
+    cluster_state = two_groups(5)
+    txn = folded(cluster_state, {"vm-0": ended("vm-0", {0: "done", 1: "done"})}, Limits(16, 60_000, 32_768))
     assert set(txn.puts) == {GROUP + "0"}
-    picture.put(GROUP + "0", txn.puts[GROUP + "0"], 9)
-    assert picture.finished(picture.jobs["job-1"]) == {0, 1}
-    assert picture.waiting() == {"job-1": [4]}
+    cluster_state.put(GROUP + "0", txn.puts[GROUP + "0"], 9)
+    assert cluster_state.finished(cluster_state.jobs["job-1"]) == {0, 1}
+    assert cluster_state.waiting() == {"job-1": [4]}
 
 
 def test_a_job_ends_with_its_last_tasks_though_its_groups_are_folded_apart():
-    picture = two_groups(4)
+    cluster_state = two_groups(4)
     limits = Limits(16, 60_000, 32_768)
-    first = folded(picture, {"vm-0": ended("vm-0", {0: "done", 1: "done"})}, limits)
-    second = folded(picture, {"vm-1": ended("vm-1", {2: "done", 3: "done"})}, limits)
+    first = folded(cluster_state, {"vm-0": ended("vm-0", {0: "done", 1: "done"})}, limits)
+    second = folded(cluster_state, {"vm-1": ended("vm-1", {2: "done", 3: "done"})}, limits)
     # Neither has seen the other's fold, so neither ends the job: who next looks does.
-    picture.put(GROUP + "0", first.puts[GROUP + "0"], 9)
-    picture.put(GROUP + "1", second.puts[GROUP + "1"], 10)
-    assert picture.completed() == {"job-1"}
-    fold = Fold(Kernel(None), picture, limits)
-    fold.end(picture.jobs["job-1"])
+    cluster_state.put(GROUP + "0", first.puts[GROUP + "0"], 9)
+    cluster_state.put(GROUP + "1", second.puts[GROUP + "1"], 10)
+    assert cluster_state.completed() == {"job-1"}
+    fold = Fold(Kernel(None), cluster_state, limits)
+    fold.end(cluster_state.jobs["job-1"])
     txn = fold.transaction()
     assert txn.removes == [LIVE + "job-1"]
     assert txn.puts["ashtray/over/job-1"] == {"status": "done", "done": 4, "at_us": 0}
 
 
 def test_completed_tasks_go_to_the_jobs_own_record_where_they_could_fill_a_groups():
-    picture = two_groups(5)
-    full = Limits(16, 60_000, int(picture.groups[GROUP + "0"].size / 0.85))
-    txn = folded(picture, {"vm-0": ended("vm-0", {0: "done"})}, full)
+    cluster_state = two_groups(5)
+    full = Limits(16, 60_000, int(cluster_state.groups[GROUP + "0"].size / 0.85))
+    txn = folded(cluster_state, {"vm-0": ended("vm-0", {0: "done"})}, full)
     assert txn.puts[LIVE + "job-1"]["finished"] == "0"
 
 
@@ -131,15 +131,15 @@
 
 def fold_of_thirty_jobs(tasks: int, finished: str):
     """The fold of a machine on which the last task of each of thirty jobs has ended."""
-    picture = Picture()
+    cluster_state = ClusterState()
     holds = [hold("0", job=f"job-{n}") for n in range(30)]
     record = GroupRecord("small", "a", {"vm-0": MachineRecord("vm-0:1", token=7, holds=holds)})
     for n in range(30):
-        picture.put(f"{LIVE}job-{n}", {**array(tasks), "finished": finished}, 3)
-    picture.put(GROUP + "0", msgspec.to_builtins(record), 5)
+        cluster_state.put(f"{LIVE}job-{n}", {**array(tasks), "finished": finished}, 3)
+    cluster_state.put(GROUP + "0", msgspec.to_builtins(record), 5)
     seen = {(f"job-{n}", 1, 0): TaskState("ended", "done") for n in range(30)}
     report = Report("vm-0", "vm-0:1", "small", "a", False, 1, 9, 7, None, seen)
-    return folded(picture, {"vm-0": Evidence(report, 7, True)}, Limits(16, 60_000, 32_768))
+    return folded(cluster_state, {"vm-0": Evidence(report, 7, True)}, Limits(16, 60_000, 32_768))
 
 
 def test_a_gang_that_needs_more_groups_than_a_transaction_may_change_runs():
@@ -154,45 +154,45 @@
 @pytest.mark.parametrize("size", [1, 10])
 def test_work_grows_with_the_changes_not_with_the_deployment(size: int, monkeypatch: pytest.MonkeyPatch):
     """With ten times the machines, holds and jobs, one changed hold costs the same."""
-    picture = Picture()
-    picture.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
+    cluster_state = ClusterState()
+    cluster_state.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
     groups = {}
     for n in range(4 * size):
         taken = [hold("0-3", job=f"job-{n}")]
         machines = {f"vm-{n}-{m}": MachineRecord("x:1", token=7, holds=taken) for m in range(8)}
         groups[n] = msgspec.to_builtins(GroupRecord("small", "a", machines))
-        picture.put(f"{LIVE}job-{n}", array(40), 1)
-        picture.put(f"{GROUP}{n}", groups[n], 2)
-    picture.waiting()
-    picture.take_touched()
+        cluster_state.put(f"{LIVE}job-{n}", array(40), 1)
+        cluster_state.put(f"{GROUP}{n}", groups[n], 2)
+    cluster_state.waiting()
+    cluster_state.take_touched()
     built, settled = [], []
     machine, unplaced = group_index.Machine, task_index.unplaced_tasks
     monkeypatch.setattr(group_index, "Machine", lambda *args: built.append(args) or machine(*args))
     monkeypatch.setattr(task_index, "unplaced_tasks", lambda job, *sets: settled.append(job) or unplaced(job, *sets))
     changed = msgspec.convert(groups[0], GroupRecord)
     changed.machines["vm-0-0"].holds = []
-    picture.put(f"{GROUP}0", msgspec.to_builtins(changed), 3)
-    picture.waiting()
-    assert (len(built), len(settled), picture.take_touched()) == (1, 1, ["vm-0-0"])
+    cluster_state.put(f"{GROUP}0", msgspec.to_builtins(changed), 3)
+    cluster_state.waiting()
+    assert (len(built), len(settled), cluster_state.take_touched()) == (1, 1, ["vm-0-0"])
     # Of all the machines a plan looks closely at those with room only, and not again once they are known to be full.
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
-    for job in queue(picture, {})[0]:
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
+    for job in queue(cluster_state, {})[0]:
         plan.place(job, len(plan.wanted(job, 10)), 0.0)
     assert plan.visits <= 2
 
 
 def test_small_tasks_that_spare_gpu_machines_hide_no_room_from_tasks_for_gpus():
     # Found on simulated days: trotinetas fell from 0.71 to 0.46 on the rough day, and what needs GPUs waited.
-    picture = Picture()
-    picture.types = {"gpu": MachineType("gpu", 12.0, 2.0, 72.0, 60.0, 1.0, 4.9, 1.7, 5, ("a",))}
+    cluster_state = ClusterState()
+    cluster_state.types = {"gpu": MachineType("gpu", 12.0, 2.0, 72.0, 60.0, 1.0, 4.9, 1.7, 5, ("a",))}
     record = GroupRecord("gpu", "a", {"vm-1": MachineRecord("vm-1:1")})
-    picture.put(GROUP + "g", msgspec.to_builtins(record), 1)
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(record), 1)
     small = JobSpec("small", "crew", "array", 2, 40, 2.0, 0.0, 2.0, "img", 1.0)
     large = JobSpec("large", "crew", "array", 2, 2, 5.0, 1.0, 27.0, "img", 1.0)
     for n, spec in enumerate((small, large)):
-        picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
-    plan = Plan(picture, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
-    first, second = queue(picture, {})[0]
+        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
+    plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
+    first, second = queue(cluster_state, {})[0]
     assert sum(n for _, n in plan.place(first, 40, 0.0)) == 0
     assert sum(n for _, n in plan.place(second, 2, 0.0)) == 2
 
@@ -204,10 +204,10 @@
     monkeypatch.setattr(placer_module, "choose_victims", lambda plan, job, n, *rest: looks.append((job.id, n)) or {})
     spec = JobSpec("any", "crew", "gang", 1, 12, 4.0, 0.0, 1.0, "img", 1.0)
     for n in range(50):
-        core.picture.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
+        core.cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
     plan = core.placer.planner.plan()
     for count in (6, 12, 3):
-        for job in core.picture.jobs.values():
+        for job in core.cluster_state.jobs.values():
             for within_s in (6.0, None):
                 assert core.placer._victims(job, plan, count, set(), within_s) == {}
     # Once where the image is in time and once anywhere, for six tasks and for the fewer three.
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -70,7 +70,7 @@
     host = model.hosts[0]
     core = host.core
     # This controller does not know yet what another one has accepted.
-    core.picture.remove("ashtray/now/job/job-7", model.state.revision)
+    core.cluster_state.remove("ashtray/now/job/job-7", model.state.revision)
     core.follower.revision = before
     answers: dict[str, int] = {}
     sent = core.store.counts["accept good"] + core.store.counts["accept conflicted"]
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -120,7 +120,7 @@
     assert core.runner.lease.term > term
     assert all(check in core.runner.handover.takeover.passed for check in Check)
     # The old process's key is not taken for the new one's.
-    fleet, _ = core.picture.fleet
+    fleet, _ = core.cluster_state.fleet
     assert fleet["incarnation"] == core.presence.incarnation
 
 
@@ -157,7 +157,7 @@
         model.run(0.01)
     core = model.hosts[0].core
     assert not core.grants.ready("crew")
-    assert core.grants.allowed("crew", next(iter(core.picture.jobs.values())).spec) == 0
+    assert core.grants.allowed("crew", next(iter(core.cluster_state.jobs.values())).spec) == 0
 
 
 @settings(
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -5,8 +5,8 @@
 
 from ashtray.kernel import Call, Kernel, Reply
 from ashtray.placement import compact_record
-from ashtray.placement.cluster_state import Picture
-from ashtray.placement.records import GroupRecord, HoldRecord, MachineRecord
+from ashtray.placement.cluster_state import ClusterState
+from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import Limits
 from ashtray.workers.folding import Evidence, Fold, adoption
@@ -17,14 +17,14 @@
 
 def fold(record_token: int, own_token: int, exact: bool):
     """Fold an empty report over a machine that holds a task of a job that is over."""
-    picture = Picture()
-    hold = HoldRecord("job-1", 1, "0", "crew", 1.0, 0.0, 1.0, 0)
+    cluster_state = ClusterState()
+    hold = AllocationRecord("job-1", 1, "0", "crew", 1.0, 0.0, 1.0, 0)
     machine = MachineRecord("vm-1:1", token=record_token, holds=[hold])
-    picture.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {"vm-1": machine})), 5)
+    cluster_state.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {"vm-1": machine})), 5)
     report = Report("vm-1", "vm-1:1", "small", "a", False, 1, 9, own_token, None, {})
     evidence = {"vm-1": Evidence(report, own_token, exact)}
-    fold = Fold(Kernel(None), picture, Limits(16, 60_000, 32_768))
-    fold.add(picture.groups[GROUP + "g"], ["vm-1"], evidence)
+    fold = Fold(Kernel(None), cluster_state, Limits(16, 60_000, 32_768))
+    fold.add(cluster_state.groups[GROUP + "g"], ["vm-1"], evidence)
     txn = fold.transaction()
     return None if txn is None else txn.puts[GROUP + "g"]["machines"]["vm-1"].get("holds", [])
 
@@ -80,7 +80,7 @@
     model = settled()
     name = next(n for machines in model.on.values() for n in machines)
     core = next(h.core for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
-    group = core.picture.groups[core.picture.machines[name].group]
+    group = core.cluster_state.groups[core.cluster_state.machines[name].group]
     core.desk.workers[name].in_flight = True
     assert not core.desk._evidence(group)[name].exact
     core.desk.workers[name].in_flight = False
@@ -127,7 +127,7 @@
     model = settled()
     name = next(n for machines in model.on.values() for n in machines)
     desk = next(h.core.desk for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
-    machine = desk.base.picture.machines[name]
+    machine = desk.base.cluster_state.machines[name]
     assert desk._owns(desk.workers[name], machine)
     machine.record.token += 1
     assert not desk._owns(desk.workers[name], machine)
@@ -168,15 +168,15 @@
 def test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group():
     state = State()
     reports = {"vm-1": Report("vm-1", "vm-1:1", "small", "a", False, 1, 1, 0, None, {})}
-    late, later = Picture(), Picture()
+    late, later = ClusterState(), ClusterState()
     limits = Limits(16, 60_000, 32_768)
     # The second one knows a group that the first does not, so they would choose different ones.
     other = msgspec.to_builtins(GroupRecord("small", "a", {"vm-0": MachineRecord("vm-0:1")}))
     later.put(GROUP + "other", other, 1)
     state.keys[GROUP + "other"] = (other, 1, None)
     answers = []
-    for picture in (late, later):
-        txn, taken = adoption(picture, reports, None, limits)
+    for cluster_state in (late, later):
+        txn, taken = adoption(cluster_state, reports, None, limits)
         assert taken == ["vm-1"]
         answers.append(state.handle(0, "POST", "/txn", txn.body())[0])
     assert answers == [200, 409]
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -51,7 +51,7 @@
 
 
 class Late:
-    """Stands for the picture of one controller."""
+    """Stands for the cluster state of one controller."""
 
     def __init__(self, hosts: list[str], view: View) -> None:
         self.shares = {"crew": {host: (share, 0.0) for host, share in zip(hosts, view.shares, strict=True)}}
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -164,7 +164,7 @@
     for host in model.hosts:
         host.core.runner.provisioning.intents.all = False
         host.core.presence._upgraded = 1
-        for seen in host.core.picture.controllers.values():
+        for seen in host.core.cluster_state.controllers.values():
             seen["form"] = 1
     model.state.keys.pop(RENTALS, None)
     need(model)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -273,7 +273,7 @@
     """Let no controller stop any task."""
     for host in model.hosts:
         desk = host.core.desk
-        host.core.picture.is_over = lambda job_id: False
+        host.core.cluster_state.is_over = lambda job_id: False
         review = desk._review
         desk._review = lambda worker, machine, review=review: [
             order for order in review(worker, machine) if order["verb"] != "kill"
--- a/tests/test_urgent_shares.py
+++ b/tests/test_urgent_shares.py
@@ -20,7 +20,7 @@
     before = model.state.revision
     model.run(60)
     # The jobs are with several controllers.
-    records = model.hosts[0].core.picture.jobs.values()
+    records = model.hosts[0].core.cluster_state.jobs.values()
     assert len({job.record.owner for job in records if job.priority == 0}) > 1
     assert model._team_uses() == TEAM["cpus_max"]
     # Each acceptance, start and share takes a few; to and fro took 312 to 695.
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -7,7 +7,7 @@
 The first table says what its core's time went into, by duty, from `--after` on (with `--start`: the ten seconds after
 all controllers were ended together at that moment).  Seconds are those of this machine under its profiler; the second
 table, counts of work for each simulated second, repeats exactly for the same arguments.  The last lines are the
-memory that its picture takes, and the peak while it was read anew.
+memory that its cluster state takes, and the peak while it was read anew.
 
 What it does not show is what the daemon adds: sockets, HTTP and MessagePack at the edge, imports, garbage collection.
 
@@ -36,7 +36,7 @@
 
 from ashtray.config.operators import OperatorSettings  # noqa: E402
 from ashtray.config.settings import Settings  # noqa: E402
-from ashtray.placement.cluster_state import Picture  # noqa: E402
+from ashtray.placement.cluster_state import ClusterState  # noqa: E402
 from tests import model as models  # noqa: E402
 
 SECOND = 1_000_000
@@ -203,7 +203,7 @@
 
 
 def memory(fleet: Fleet) -> dict[str, float]:
-    """MB that a picture of all that is stored takes, and the peak while it is put together from its pages."""
+    """MB that a cluster state of all that is stored takes, and the peak while it is put together from its pages."""
     items = [
         (key, value, stamp) for key, (value, stamp, _) in fleet.state.keys.items() if key.startswith("ashtray/now/")
     ]
@@ -211,17 +211,17 @@
     stamps = [stamp for _, _, stamp in items]
     gc.collect()
     tracemalloc.start()
-    picture = Picture()
+    cluster_state = ClusterState()
     for (key, value), stamp in zip(msgspec.msgpack.decode(raw), stamps, strict=True):
-        picture.put(key, value, stamp)
-    picture.waiting()
+        cluster_state.put(key, value, stamp)
+    cluster_state.waiting()
     now, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
-        "machines": len(picture.machines),
-        "jobs": len(picture.jobs),
+        "machines": len(cluster_state.machines),
+        "jobs": len(cluster_state.jobs),
         "stored MB": len(raw) / 1e6,
-        "picture MB": now / 1e6,
+        "cluster state MB": now / 1e6,
         "peak MB": peak / 1e6,
     }
 
