--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -187,7 +187,7 @@
             # the plan, it stood idle until it had been moved to them.
             shared = mine and self.grants.limited(job.spec.team)
             tasks = plan.wanted(job, base.kernel.wall_us, shared)
-            urgent = job.priority <= 1 and not job.suspect
+            urgent = job.priority <= URGENT and not job.suspect
             if not mine and not urgent:
                 tasks = self._placeable(job, tasks, theirs)
             if not tasks:
@@ -391,7 +391,7 @@
         wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.any)
         for short in jobs:
             job = short.job
-            txn = self.grants.reshare(team, job.spec, short.count, wants, short.turn, job.priority <= 1)
+            txn = self.grants.reshare(team, job.spec, short.count, wants, short.turn, job.priority <= URGENT)
             if txn is not None:
                 return txn
         return None
@@ -603,7 +603,7 @@
         self._bytes += self._size(item)
         self.items.append(item)
         self._jobs.add(item.job_id)
-        self.urgent = self.urgent or (job.priority <= 1 and not job.suspect)
+        self.urgent = self.urgent or (job.priority <= URGENT and not job.suspect)
         self.groups |= item.groups()
         cpus, gpus = self.used.get(job.spec.team, (0.0, 0.0))
         self.used[job.spec.team] = (cpus + item.count * job.spec.cpus, gpus + item.count * job.spec.gpus)
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -116,7 +116,10 @@
 
     def own_share(self, name: str) -> Share:
         """This controller's share of a team's limit, by the cluster state."""
-        return self._shares(name).get(self.host, (0.0, 0.0))
+        return self._share_of(self.host, name)
+
+    def _share_of(self, host: str, name: str) -> Share:
+        return self._shares(name).get(host, (0.0, 0.0))
 
     def lines(self, waiting: Mapping[str, Sized]) -> list[str]:
         """For each limit how much of it is used, and how much lies in whose share, for people."""
@@ -146,7 +149,7 @@
 
     def allowed_to(self, host: str, name: str, spec: JobSpec, cpus: float = 0.0, gpus: float = 0.0) -> int:
         """How many tasks a controller's share allows it, by this cluster state, when so much goes with them."""
-        share = self._shares(name).get(host, (0.0, 0.0))
+        share = self._share_of(host, name)
         used = self.cluster_state.team_usage(name, host)
         within = _within(self.teams[name], share)
         return tasks_within(within, used[0] + cpus, used[1] + gpus, spec)
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -106,11 +106,7 @@
             worker.heard_us = self.kernel.now_us
         # An answer that renews the lease also ends what is known to be over, whoever owns the worker: found by the
         # model test, a new owner that could not sign the record kept a cancelled job's tasks alive.
-        orders = [
-            messages.kill(key, 0)
-            for key, seen in report.tasks.items()
-            if seen.state != "ended" and self.base.cluster_state.is_over(key[0])
-        ]
+        orders = self.delivery.kills_for(report)
         machine = self.base.cluster_state.machines.get(worker.name)
         if machine is None:
             # Only what reports is added: found on a simulated day, machines just deleted were added again when
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -15,7 +15,7 @@
 from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Signal, Wait
 from ashtray.placement.machine_groups import Machine
 from ashtray.workers import messages
-from ashtray.workers.messages import Report, TaskKey, TaskState
+from ashtray.workers.messages import Report, TaskKey
 from ashtray.workers.worker import OrdersUnderway, Worker
 
 ANSWER_US = 1_500_000
@@ -26,7 +26,6 @@
 """For so long a cancellation waits for answers to what is underway, before that is made void."""
 SETTLE_US = 250_000
 """A cancellation waits no longer than this until nothing of its job can start here any more."""
-
 UNHEARD_US = 100_000
 """How long a machine that does not report here has for each answer."""
 ELSEWHERE_US = 250_000
@@ -107,6 +106,13 @@
         keys: dict[TaskKey, None] = {key: None for key, seen in report.tasks.items() if seen.state != "ended"}
         if worker.underway is not None:
             keys.update(dict.fromkeys(sorted(worker.underway.tasks)))
+        return self._kills_of_over(keys)
+
+    def kills_for(self, report: Report) -> list[dict[str, Any]]:
+        """Orders that end what a report lists of jobs that are over."""
+        return self._kills_of_over(key for key, seen in report.tasks.items() if seen.state != "ended")
+
+    def _kills_of_over(self, keys: Iterable[TaskKey]) -> list[dict[str, Any]]:
         return [messages.kill(key, 0) for key in keys if self.base.cluster_state.is_over(key[0])]
 
     def settle(self, cancelled: Iterable[str]) -> Fiber[list[str]]:
@@ -116,8 +122,7 @@
         the machines with places of these jobs that report here.
         """
         job_ids = frozenset(cancelled)
-        held = self.base.cluster_state.allocations
-        names = sorted({name for job_id in job_ids for name, _ in held.get(job_id, ())})
+        names = sorted(set().union(*(self._machines_of(job_id) for job_id in job_ids)))
         known = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
         until_us = self.kernel.now_us + SETTLE_US
         yield from self._wait(known, job_ids, self.kernel.now_us + GRACE_US)
@@ -134,15 +139,17 @@
 
         Their owner has ended, stands still, or has not heard them yet.  Returns after `ELSEWHERE_US` at most.
         """
-        names = sorted({name for name, _ in self.base.cluster_state.allocations.get(job_id, ())} - settled)[
-            :MOST_ELSEWHERE
-        ]
+        names = sorted(self._machines_of(job_id) - settled)[:MOST_ELSEWHERE]
         pending, until_us = set(names), self.kernel.now_us + ELSEWHERE_US
         for name in names:
             self.kernel.spawn(self._void_at(name, job_id, pending))
         while pending and self.kernel.now_us < until_us:
             yield Wait(self.learnt, until_us - self.kernel.now_us)
 
+    def _machines_of(self, job_id: str) -> set[str]:
+        """The machines that have places of a job."""
+        return {name for name, _ in self.base.cluster_state.allocations.get(job_id, ())}
+
     def _void_at(self, name: str, job_id: str, pending: set[str]) -> Fiber[None]:
         worker, machine = self.workers.get(name), self.base.cluster_state.machines.get(name)
         if machine is not None and (worker is None or not worker.token):
@@ -163,11 +170,8 @@
             return
         # Safety point 4: whatever an owner before has sent is void once the machine has seen this token.
         token = self._next_token(max(report.token, machine.record.token))
-        kills = [messages.kill(key, 0) for key, seen in report.tasks.items() if self._is_to_end(key, seen)]
-        yield Call(address, "POST", "/orders", messages.orders_body(token, report.session, kills), UNHEARD_US)
-
-    def _is_to_end(self, key: TaskKey, seen: TaskState) -> bool:
-        return seen.state != "ended" and self.base.cluster_state.is_over(key[0])
+        body = messages.orders_body(token, report.session, self.kills_for(report))
+        yield Call(address, "POST", "/orders", body, UNHEARD_US)
 
     def _wait(self, workers: list[Worker], job_ids: frozenset[str], until_us: int) -> Fiber[None]:
         """Wait until none of these workers can start a task of these jobs."""
