--- a/tests/meeting_model.py
+++ b/tests/meeting_model.py
@@ -163,7 +163,7 @@
 
     def machines_of(self, job_id: str) -> set[str]:
         """The machines that a job's tasks are on."""
-        return {name for (job, _), machines in self.on.items() if job == job_id for name in machines}
+        return self._machines_with(job_id)
 
     def gone_s(self, job_id: str) -> float:
         """How long after a job was reported as cancelled its last task was on a machine."""
@@ -198,11 +198,10 @@
             for host in self.hosts:
                 self.cut(f"c{host.number}", name, seconds, hold)
 
-    def hang(self, names: Iterable[str], seconds: float) -> None:
+    def hang_all(self, names: Iterable[str], seconds: float) -> None:
         """Machines that stand still for so long."""
         for name in names:
-            self.hung.add(name)
-            self.at(int(seconds * SECOND), lambda name=name: self.wake(name))
+            self.hang(name, seconds)
 
     def alone(self, number: int, seconds: float) -> None:
         """A controller that loses the state service and all other controllers."""
--- a/tests/test_meetings_handovers.py
+++ b/tests/test_meetings_handovers.py
@@ -194,7 +194,7 @@
     leader = model.runner()
     assert leader is not None
     terms = len(model.terms)
-    model.hang(names, 60)
+    model.hang_all(names, 60)
     model.cancel("job-0")
     model.run(first_s)
     assert model.jobs["job-0"].told == "cancelled" and model.machines_of("job-0") == set(names)
@@ -360,7 +360,7 @@
         if loss == "taken":
             model.cloud.end(model.now, name, "taken")
         elif loss == "hangs":
-            model.hang([name], linger_s)
+            model.hang_all([name], linger_s)
         else:
             model.cut_off([name], linger_s)
     leader = model.runner()
--- a/tests/test_meetings_hung_machines.py
+++ b/tests/test_meetings_hung_machines.py
@@ -76,7 +76,7 @@
 
 def cancel_all_hung(model: Meeting, ids: list[str], names: list[str], hang_s: float) -> None:
     """Call jobs off while their machines hang, each at two controllers: the first confirmation counts."""
-    Meeting.hang(model, names, hang_s)
+    model.hang_all(names, hang_s)
     for n, job_id in enumerate(ids):
         model.nodes = [n % len(model.hosts)]
         model.cancel(job_id)
--- a/tests/test_meetings_leaders.py
+++ b/tests/test_meetings_leaders.py
@@ -133,7 +133,7 @@
         if trouble == "cut":
             model.cut_off(names, away_s)
         elif trouble == "hang":
-            model.hang(names, away_s)
+            model.hang_all(names, away_s)
         else:
             for name in names:
                 model.deaf[name] = (model.now + int(away_s * SECOND), False)
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -72,7 +72,7 @@
     elif trouble == "held":
         model.cut_off(names, seconds, hold=True)
     elif trouble == "hang":
-        model.hang(names, seconds)
+        model.hang_all(names, seconds)
     elif trouble == "deaf":
         for name in names:
             model.deaf[name] = (model.now + int(seconds * SECOND), False)
@@ -203,7 +203,7 @@
     leader = model.runner()
     assert leader is not None
     model.nodes = [number for number in range(3) if number != leader]
-    model.hang(names, 60)
+    model.hang_all(names, 60)
     model.cancel("job-0")
     model.run(change_s)
     # The meeting: the tasks are on machines that hang as the leader changes.
@@ -224,7 +224,7 @@
     # One that reports to the leader would be silent for the timeout of its next report as well.
     names = [name for name in sorted(model.workers) if model.owner(name) != leader][:3]
     assert names
-    model.hang(names, away_s)
+    model.hang_all(names, away_s)
     # What the leader tells last is that they are silent; they are heard again before another one follows.
     model.run(away_s - 0.2)
     model.hosts[leader].halted_until = model.now + 40 * SECOND
--- a/tests/test_meetings_ownership.py
+++ b/tests/test_meetings_ownership.py
@@ -178,7 +178,7 @@
     model.run(0.25)
     assert model.machines_of("job-0") == {name}
     # A kill that would follow if the place were freed does not come through.
-    model.hang([name], 6)
+    model.hang_all([name], 6)
     model.run(20)
     assert model.hosts[former].core.cluster_state.jobs["job-0"].record.attempt == 1
     assert model.machines_of("job-0") == {name}
--- a/tests/test_meetings_team_limits.py
+++ b/tests/test_meetings_team_limits.py
@@ -246,7 +246,7 @@
     leader = model.runner()
     assert leader is not None
     model.nodes = [number for number in range(hosts) if number != leader]
-    model.hang(sorted(names), 60)
+    model.hang_all(sorted(names), 60)
     for job_id in ids:
         model.cancel(job_id)
     model.run(1)
@@ -268,7 +268,7 @@
     model.begin(batch(n) for n in range(6))
     # Those without tasks may be returned at any time.
     names = sorted({name for machines in model.on.values() for name in machines})[1:]
-    model.hang(names, 2.5 * LEASE_S)
+    model.hang_all(names, 2.5 * LEASE_S)
     model.run(2.5 * LEASE_S + 2)
     assert 2 * len(names) > len(model.workers)
     # Those that fell silent before most of the others had are returned.
