--- a/ashtray/fleet/boot_times.py
+++ b/ashtray/fleet/boot_times.py
@@ -6,14 +6,14 @@
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 
-WEIGHT = 0.15
+NEWEST_WEIGHT = 0.15
 """The weight of the newest boot in the exponential average."""
 MIN_RATIO, MAX_RATIO = 0.5, 6.0
 """The bounds of what is learnt, in boot times of the catalogue."""
-UNKNOWN_US = 60 * SECOND_US
+DEFAULT_BOOT_US = 60 * SECOND_US
 """The boot time of a machine type that the catalogue does not have."""
-SLACK_US = 5 * SECOND_US
-LONGER = 3.0
+OVERDUE_MARGIN_US = 5 * SECOND_US
+NOT_OVERTAKEN_FACTOR = 3.0
 """A machine is waited for so many times as long while none that was requested later has come up either."""
 
 
@@ -27,21 +27,21 @@
         self._ratios: dict[MachineKind, float] = {}
         self._last_ratios: dict[MachineKind, float] = {}
         """The ratio of the machine of each kind that came up last."""
-        self._latest_requests: dict[MachineKind, int] = {}
+        self._latest_requested_us: dict[MachineKind, int] = {}
         """Of the machines of each kind that have come up, when the one requested last was requested."""
 
     def _catalogue_us(self, kind: MachineKind) -> int:
         machine_type = self._cluster_state.types.get(kind.type)
-        return machine_type.boot_us if machine_type is not None else UNKNOWN_US
+        return machine_type.boot_us if machine_type is not None else DEFAULT_BOOT_US
 
     def record(self, kind: MachineKind, requested_us: int, now_us: int) -> None:
         """A machine that was requested at that time has come up."""
         ratio = (now_us - requested_us) / max(self._catalogue_us(kind), 1)
         ratio = min(max(ratio, MIN_RATIO), MAX_RATIO)
         average = self._ratios.get(kind, 1.0)
-        self._ratios[kind] = average + WEIGHT * (ratio - average)
+        self._ratios[kind] = average + NEWEST_WEIGHT * (ratio - average)
         self._last_ratios[kind] = ratio
-        self._latest_requests[kind] = max(requested_us, self._latest_requests.get(kind, 0))
+        self._latest_requested_us[kind] = max(requested_us, self._latest_requested_us.get(kind, 0))
 
     def ratios(self) -> dict[MachineKind, float]:
         """How many times the catalogue's boot time each kind takes, as learnt."""
@@ -55,24 +55,24 @@
         """How long a machine that is requested now may be expected to take."""
         return int(self._catalogue_us(kind) * self._ratios.get(kind, 1.0))
 
-    def _limit_us(self, kind: MachineKind) -> int:
+    def _overdue_after_us(self, kind: MachineKind) -> int:
         # The first machine that is late says at once that others may be late, too.
         ratio = max(1.0, self._ratios.get(kind, 1.0), self._last_ratios.get(kind, 1.0))
-        return int(self._catalogue_us(kind) * ratio * self._patience) + SLACK_US
+        return int(self._catalogue_us(kind) * ratio * self._patience) + OVERDUE_MARGIN_US
 
     def remaining_us(self, kind: MachineKind, requested_us: int, now_us: int) -> int | None:
         """The time until a machine may be expected; None if it is overdue and nobody knows."""
-        if now_us - requested_us > self._limit_us(kind):
+        if now_us - requested_us > self._overdue_after_us(kind):
             return None
         return max(requested_us + self.expected_us(kind) - now_us, self._catalogue_us(kind) // 4)
 
-    def hopeless(self, kind: MachineKind, requested_us: int, now_us: int) -> bool:
+    def should_give_up(self, kind: MachineKind, requested_us: int, now_us: int) -> bool:
         """Whether a machine is to be given up.
 
         When all are late, giving each up just before it comes would mean that none ever does; a machine that others,
         requested later, have overtaken will hardly come.
         """
-        limit_us = self._limit_us(kind)
-        if self._latest_requests.get(kind, -1) < requested_us:
-            limit_us = int(limit_us * LONGER)
+        limit_us = self._overdue_after_us(kind)
+        if self._latest_requested_us.get(kind, -1) < requested_us:
+            limit_us = int(limit_us * NOT_OVERTAKEN_FACTOR)
         return now_us - requested_us > limit_us
--- a/ashtray/fleet/capacity_backoff.py
+++ b/ashtray/fleet/capacity_backoff.py
@@ -29,12 +29,12 @@
         self.kernel = kernel
         self.refusals: dict[MachineKind, Refusal] = {}
 
-    def waits(self, kind: MachineKind) -> bool:
+    def is_blocked(self, kind: MachineKind) -> bool:
         """Whether the kind is not to be asked for yet."""
         refusal = self.refusals.get(kind)
         return refusal is not None and refusal.until_us > self.kernel.now_us
 
-    def refused(self, kind: MachineKind) -> None:
+    def record_refusal(self, kind: MachineKind) -> None:
         """The cloud had too few machines of a kind."""
         before = self.refusals.get(kind)
         times = 1 if before is None else before.times + 1
--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -25,7 +25,7 @@
 """Commits in a row for one step: what is left then waits for the next round."""
 MAX_DELETED = 100
 """Machines deleted with one request."""
-MAX_CHANGES = 8
+MAX_EXPECTED_WRITES = 8
 """Changes that a freeing waits for at the most before it is built."""
 
 
@@ -52,12 +52,12 @@
     def drain_lost(self) -> Fiber[None]:
         """Begin to return what never came up, what fell silent, what failed, and what is idle."""
         lost = self.review.lost_pending() + self.review.lost_or_idle()
-        yield from self._save_gangs()
+        yield from self._checkpoint_gangs()
         machines = self.base.cluster_state.machines
         self.inventory.draining.update(name for name in lost if name not in machines)
         yield from self._drain([name for name in lost if name in machines])
 
-    def _save_gangs(self) -> Fiber[None]:
+    def _checkpoint_gangs(self) -> Fiber[None]:
         """Stop gangs that are about to lose a machine in the orderly way: all their tasks at once, so that they save.
 
         A gang that cannot be stopped in one transaction is left to its last checkpoint, for a part would lose it all.
@@ -67,17 +67,17 @@
         for machine in list(cluster_state.machines.values()):
             if not machine.record.retiring or machine.name in self.inventory.draining:
                 continue
-            for hold in machine.holds:
-                job = cluster_state.jobs.get(hold.job)
-                if job is None or job.id in seen or not orderly(job, hold):
+            for allocation in machine.holds:
+                job = cluster_state.jobs.get(allocation.job)
+                if job is None or job.id in seen or not orderly(job, allocation):
                     continue
                 seen.add(job.id)
-                yield from self._stop_gang(job, machine)
+                yield from self._preempt_gang(job, machine)
 
-    def _stop_gang(self, job: Job, machine: Machine) -> Fiber[None]:
+    def _preempt_gang(self, job: Job, machine: Machine) -> Fiber[None]:
         victims: Victims = {}
-        for (name, _), hold in self.base.cluster_state.allocations[job.id].items():
-            victims.setdefault(name, {}).setdefault((job.id, hold.attempt), set()).update(hold.tasks)
+        for (name, _), allocation in self.base.cluster_state.allocations[job.id].items():
+            victims.setdefault(name, {}).setdefault((job.id, allocation.attempt), set()).update(allocation.tasks)
         build = partial(stop_victims, self.base.cluster_state, victims, self.base.limits, whole=True)
         if (yield from self.base.follower.commit(build, len(victims), Urgency.FREE, "stop")):
             self.kernel.log("info", f"{job.id} saves: {machine.name} goes")
@@ -94,7 +94,7 @@
             if not remaining:
                 break
             idle = {name for name in remaining if not machines[name].holds}
-            build = partial(self._drain_marks, remaining, idle, marked)
+            build = partial(self._drain_transaction, remaining, idle, marked)
             groups = min(len({machines[name].group for name in remaining}), self.base.limits.ops)
             committed = yield from self.base.follower.commit(build, groups, Urgency.PLACE, "return")
             if committed:
@@ -105,7 +105,7 @@
             elif committed is None or not (yield from self.base.follower.barrier()):
                 break
 
-    def _drain_marks(self, names: list[str], idle: set[str], marked: list[str]) -> Txn | None:
+    def _drain_transaction(self, names: list[str], idle: set[str], marked: list[str]) -> Txn | None:
         """Build the transaction that marks machines; `marked` is filled with those that it marks.
 
         Machines that were idle when they were chosen may have got tasks meanwhile: these stay.
@@ -118,10 +118,10 @@
             machine = self.base.cluster_state.machines.get(name)
             if machine is None or machine.record.retiring or (name in idle and machine.holds):
                 continue
-            if not edits.has_room(machine, 0):
+            if not edits.can_add(machine, 0):
                 continue
             # Safety point 1: placement ends here before the machine is deleted.
-            edits.of(machine).machine(name).retiring = True
+            edits.edit_of(machine).machine(name).retiring = True
             marked.append(name)
         return edits.write(self.lease.under_term(Txn()), marked)
 
@@ -138,7 +138,7 @@
         if reply.status != 200:
             return
         self.inventory.note_deleted(names)
-        yield from self._free(names)
+        yield from self._remove_deleted(names)
         self.inventory.forget_deleted()
 
     def _keep_adopted(self) -> None:
@@ -155,7 +155,7 @@
 
     # Freeing
 
-    def _free(self, names: list[str]) -> Fiber[None]:
+    def _remove_deleted(self, names: list[str]) -> Fiber[None]:
         """Take machines that are surely gone out of their groups, with all that they held."""
         draining = self.inventory.draining
         machines = self.base.cluster_state.machines
@@ -165,9 +165,9 @@
             if not remaining:
                 break
             yield from self._drain_unmarked(remaining)
-            build = partial(self._removal, remaining, removed)
+            build = partial(self._removal_transaction, remaining, removed)
             groups = {machines[name].group for name in remaining if name in machines}
-            changes = min(len(groups) + 1, MAX_CHANGES)
+            changes = min(len(groups) + 1, MAX_EXPECTED_WRITES)
             committed = yield from self.base.follower.commit(build, changes, Urgency.FREE, "remove")
             if committed:
                 self._note_removed(removed)
@@ -190,7 +190,7 @@
             self.inventory.known_since.pop(name, None)
             self.kernel.log("info", f"{name} is gone")
 
-    def _removal(self, names: list[str], removed: list[str]) -> Txn | None:
+    def _removal_transaction(self, names: list[str], removed: list[str]) -> Txn | None:
         """Build the transaction that frees machines; `removed` is filled with those that it frees."""
         edits = GroupEdits(self.base)
         broken: dict[str, int] = {}
@@ -204,9 +204,9 @@
                 # More gangs than a transaction takes: some are marked first, and the machine goes in a later turn.
                 broken = dict(list(gangs.items())[: self.base.limits.ops])
                 break
-            if not edits.has_room(machine, len(gangs)):
+            if not edits.can_add(machine, len(gangs)):
                 continue
-            edits.of(machine).remove(name)
+            edits.edit_of(machine).remove(name)
             broken = gangs
             removed.append(name)
         txn = Txn()
@@ -218,8 +218,8 @@
     def _broken_gangs(self, machine: Machine) -> dict[str, int]:
         """The gangs that lose tasks with a machine, and the attempt that ends with it."""
         broken = {}
-        for hold in machine.holds:
-            job = self.base.cluster_state.jobs.get(hold.job)
-            if job is not None and job.spec.kind == "gang" and hold.attempt > job.record.broken:
-                broken[job.id] = hold.attempt
+        for allocation in machine.holds:
+            job = self.base.cluster_state.jobs.get(allocation.job)
+            if job is not None and job.spec.kind == "gang" and allocation.attempt > job.record.broken:
+                broken[job.id] = allocation.attempt
         return broken
--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -25,12 +25,12 @@
 from ashtray.placement.records import MachineType
 from ashtray.placement.rules import Ask, Room
 
-DEARER = 0.2
+LARGE_PREMIUM = 0.2
 """A kind of machine that costs so much more than the cheapest is taken only when time runs out."""
 MAX_DEMAND = 300
 """Machines called for by one forecast."""
-MIN_HEDGE = 2
-HEDGE_PART = 3
+MIN_HEDGES = 2
+HEDGE_DIVISOR = 3
 """Of the pending machines of a kind, one in so many may be requested a second time when it is overdue."""
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Part:
+class TaskSubset:
     """Tasks of a job that are served together."""
 
     ask: Ask
@@ -103,8 +103,8 @@
             if not tasks:
                 continue
             plan.count(job, tasks)
-            for part in self._parts(plan.ask(job), tasks):
-                self._serve(job, part, forecast, demand)
+            for subset in self._split_by_zone(plan.ask(job), tasks):
+                self._serve(job, subset, forecast, demand)
         self.needed = {machine.room.machine.name for machine in forecast.machines if machine.used}
         return demand
 
@@ -113,61 +113,61 @@
         ready_us: dict[str, int] = {}
         pending_by_kind = Counter(pending.kind for pending in self.inventory.pending.values())
         # At the worst a third as many machines again are paid for.
-        hedges = {kind: max(number // HEDGE_PART, MIN_HEDGE) for kind, number in pending_by_kind.items()}
+        hedges = {kind: max(number // HEDGE_DIVISOR, MIN_HEDGES) for kind, number in pending_by_kind.items()}
         for name, pending in self.inventory.pending.items():
             kind = pending.kind
             machine_type: MachineType | None = self.base.cluster_state.types.get(kind.type)
-            leaves = name in self.inventory.draining or name in self.base.cluster_state.machines
-            if machine_type is None or leaves:
+            leaving = name in self.inventory.draining or name in self.base.cluster_state.machines
+            if machine_type is None or leaving:
                 continue
             remaining_us = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us)
             if remaining_us is None and hedges[kind] > 0:
                 # Overdue: another one is called for, and this one is used all the same should it come.
                 hedges[kind] -= 1
                 continue
-            plan.rooms.append(self._empty_room(name, kind))
+            plan.rooms.append(self._empty_machine(name, kind))
             wait_us = machine_type.boot_us if remaining_us is None else remaining_us
             ready_us[name] = self.kernel.wall_us + wait_us
         return ready_us
 
-    def _empty_room(self, name: str, kind: MachineKind) -> Room:
+    def _empty_machine(self, name: str, kind: MachineKind) -> Room:
         """The room of a machine that is not present yet."""
         spec = self.base.cluster_state.types[kind.type]
         machine = Machine(name, name, kind.type, kind.zone, {"address": "", "spot": kind.spot})
         return Room(machine, spec, spec.cpus, spec.gpus, spec.memory_gb)
 
-    def _parts(self, ask: Ask, tasks: int) -> list[Part]:
+    def _split_by_zone(self, ask: Ask, tasks: int) -> list[TaskSubset]:
         """The tasks of a job that must be spread, zone by zone; the tasks of any other job are one part."""
         cluster = self.base.settings.cluster
         zones = [zone for zone in cluster.zones if ask.spec.zone in (None, zone) and ask.zone in (None, zone)]
         if not ask.spec.spread or len(zones) < 2:
-            return [Part(ask, tasks)]
-        parts = []
+            return [TaskSubset(ask, tasks)]
+        subsets = []
         for n, zone in enumerate(zones):
             even_share = -(-tasks // (len(zones) - n))
             number = min(even_share, ask.zone_allows(zone))
             tasks -= number
-            parts.append(Part(replace(ask, zone=zone), number))
-        return [part for part in parts if part.tasks > 0]
+            subsets.append(TaskSubset(replace(ask, zone=zone), number))
+        return [subset for subset in subsets if subset.tasks > 0]
 
-    def _serve(self, job: Job, part: Part, forecast: Forecast, demand: dict[MachineKind, int]) -> None:
+    def _serve(self, job: Job, subset: TaskSubset, forecast: Forecast, demand: dict[MachineKind, int]) -> None:
         """Give tasks their places in the forecast, and add to the demand the machines that they call for."""
-        ask, remaining = part.ask, part.tasks
+        ask, remaining = subset.ask, subset.tasks
         run_us = self.pace.run_us(job)
         thresholds = self._thresholds(job, ask)
-        while remaining > 0 and forecast.steps > 0:
+        while remaining > 0 and forecast.remaining_steps > 0:
             start_us = forecast.earliest(ask)
             kind = next((threshold.kind for threshold in thresholds if start_us > threshold.start_us), None)
             if kind is not None and sum(demand.values()) < MAX_DEMAND:
                 demand[kind] = demand.get(kind, 0) + 1
-                room = self._empty_room(f"demand-{len(forecast.machines)}", kind)
+                room = self._empty_machine(f"demand-{len(forecast.machines)}", kind)
                 ready_us = self.kernel.wall_us + self.boot_times.expected_us(kind)
                 forecast.add(FutureMachine(room, ready_us, []), ask)
                 start_us = forecast.earliest(ask)
             if start_us >= NEVER_US:
                 break
             remaining -= forecast.take(ask, remaining, run_us)
-        forecast.served(ask)
+        forecast.finish_job(ask)
 
     def _thresholds(self, job: Job, ask: Ask) -> list[Threshold]:
         """The kinds that may be rented for a job, the cheapest first.
@@ -176,7 +176,7 @@
         """
         suitable = self._candidates(job.spec)
         cheapest = suitable[0] if suitable else Candidate(0.0, NO_KIND)
-        candidates = [candidate for candidate in suitable if not self.backoff.waits(candidate.kind)]
+        candidates = [candidate for candidate in suitable if not self.backoff.is_blocked(candidate.kind)]
         if job.spec.job_class in self.pace.urgent:
             self.cheapest_for_urgent[job.spec.job_class] = cheapest.kind
         if job.spec.same_zone and ask.zone is None and candidates:
@@ -209,15 +209,15 @@
         `patience_s`: how long the job may wait rather than pay the cheapest price once more; `latest_us`: by when it
         should start to be done in time, if that is stated.
         """
-        dearer = max(candidate.price / cheapest_price - 1.0, 0.0) if cheapest_price else 0.0
-        worth_us = int(patience_s * SECOND_US * dearer)
+        premium = max(candidate.price / cheapest_price - 1.0, 0.0) if cheapest_price else 0.0
+        premium_wait_us = int(patience_s * SECOND_US * premium)
         wall_us = self.kernel.wall_us
         ready_us = wall_us + self.boot_times.expected_us(candidate.kind)
-        start_us = ready_us + worth_us + SECOND_US
+        start_us = ready_us + premium_wait_us + SECOND_US
         if latest_us is not None:
             # Machines that are present will do while the job can still be done in time: a machine that boots for one
             # short task costs more than the task does.
-            start_us = max(start_us, latest_us if dearer > DEARER else (wall_us + latest_us) // 2)
+            start_us = max(start_us, latest_us if premium > LARGE_PREMIUM else (wall_us + latest_us) // 2)
         return Threshold(start_us, candidate.kind)
 
 
--- a/ashtray/fleet/fleet_lease.py
+++ b/ashtray/fleet/fleet_lease.py
@@ -17,7 +17,7 @@
 
 MAX_READ_AGE_US = 3 * SECOND_US
 """The key is taken only on a cluster state that was read so recently."""
-SECOND_SUCCESSOR_US = 2 * SECOND_US
+OTHER_SUCCESSORS_DELAY_US = 2 * SECOND_US
 """How long the other controllers leave a free key to the first successor."""
 
 
@@ -89,7 +89,7 @@
         if fleet is None:
             if self._free_since_us is None:
                 self._free_since_us = now_us
-            return first or now_us - self._free_since_us > SECOND_SUCCESSOR_US
+            return first or now_us - self._free_since_us > OTHER_SUCCESSORS_DELAY_US
         self._free_since_us = None
         holder = fleet[0].get("host")
         # A process that was started anew does not know that its host ran the fleet (safety point 27).
--- a/ashtray/fleet/forecast.py
+++ b/ashtray/fleet/forecast.py
@@ -75,17 +75,17 @@
 
 
 def allocation_ends_us(
-    cluster_state: ClusterState, hold: Allocation, wall_us: int, run_us: Callable[[Job], int]
+    cluster_state: ClusterState, allocation: Allocation, wall_us: int, run_us: Callable[[Job], int]
 ) -> int:
     """When the tasks of a hold may be expected to end, as the time of day."""
-    job = cluster_state.jobs.get(hold.job)
-    if job is None or hold.record.stop_us >= 0:
+    job = cluster_state.jobs.get(allocation.job)
+    if job is None or allocation.record.stop_us >= 0:
         return wall_us + STOPPING_US
     if job.spec.kind == "service":
         return NEVER_US
-    end_us = hold.record.placed_us + run_us(job)
+    end_us = allocation.record.placed_us + run_us(job)
     # A task that runs over its estimate is as likely to go on for a part of what it has run.
-    return max(end_us, wall_us + (wall_us - hold.record.placed_us) // 4 + SECOND_US)
+    return max(end_us, wall_us + (wall_us - allocation.record.placed_us) // 4 + SECOND_US)
 
 
 def future_machines(
@@ -99,16 +99,16 @@
     found = []
     for room in rooms:
         releases = []
-        for hold in room.machine.holds:
-            number = len(hold.tasks)
-            record = hold.record
-            at_us = allocation_ends_us(cluster_state, hold, wall_us, run_us)
+        for allocation in room.machine.holds:
+            number = len(allocation.tasks)
+            record = allocation.record
+            at_us = allocation_ends_us(cluster_state, allocation, wall_us, run_us)
             releases.append(Release(at_us, number * record.cpus, number * record.gpus, number * record.memory_gb))
         found.append(FutureMachine(room, ready_us.get(room.machine.name, wall_us), releases))
     return found
 
 
-class MachineClass(NamedTuple):
+class MachineFilter(NamedTuple):
     """What decides which machines a job may use, beside the size of its tasks."""
 
     job_class: str
@@ -126,11 +126,11 @@
         )
 
 
-class QueueEntry(NamedTuple):
+class HeapEntry(NamedTuple):
     """A machine by its place in the forecast, and when it has room; entries sort by time."""
 
     at_us: int
-    number: int
+    machine_index: int
 
 
 class Forecast:
@@ -142,74 +142,74 @@
 
     def __init__(self, machines: list[FutureMachine]) -> None:
         self.machines = machines
-        self.steps = MAX_STEPS
+        self.remaining_steps = MAX_STEPS
         """How many more times tasks may be put on a machine."""
-        self._heaps: dict[MachineClass, list[QueueEntry]] = {}
-        self._taken: list[QueueEntry] = []
+        self._heaps: dict[MachineFilter, list[HeapEntry]] = {}
+        self._gang_entries: list[HeapEntry] = []
 
-    def _heap(self, ask: Ask) -> list[QueueEntry]:
+    def _heap(self, ask: Ask) -> list[HeapEntry]:
         spec = ask.spec
-        allowed = MachineClass(spec.job_class, tuple(spec.types or ()), ask.zone or spec.zone, spec.spot)
-        heap = self._heaps.get(allowed)
+        machine_filter = MachineFilter(spec.job_class, tuple(spec.types or ()), ask.zone or spec.zone, spec.spot)
+        heap = self._heaps.get(machine_filter)
         if heap is None:
-            heap = self._heaps[allowed] = list(self._entries(allowed, spec))
+            heap = self._heaps[machine_filter] = list(self._entries(machine_filter, spec))
             heapq.heapify(heap)
         return heap
 
-    def _entries(self, allowed: MachineClass, spec: JobSpec) -> Iterator[QueueEntry]:
+    def _entries(self, machine_filter: MachineFilter, spec: JobSpec) -> Iterator[HeapEntry]:
         for number, machine in enumerate(self.machines):
             fits = machine.room.type.fits(spec.cpus, spec.gpus, spec.memory_gb) > 0
-            if not fits or not allowed.allows(machine):
+            if not fits or not machine_filter.allows(machine):
                 continue
             at_us = machine.earliest_us(spec)
             if at_us < NEVER_US:
-                yield QueueEntry(at_us, number)
+                yield HeapEntry(at_us, number)
 
     def earliest(self, ask: Ask) -> int:
         """The time of day at which the next task of a job would have room, or `NEVER_US`."""
         heap = self._heap(ask)
         while heap:
             entry = heap[0]
-            at_us = self.machines[entry.number].earliest_us(ask.spec)
+            at_us = self.machines[entry.machine_index].earliest_us(ask.spec)
             if at_us <= entry.at_us:
                 return entry.at_us
             heapq.heappop(heap)
             if at_us < NEVER_US:
-                heapq.heappush(heap, QueueEntry(at_us, entry.number))
+                heapq.heappush(heap, HeapEntry(at_us, entry.machine_index))
         return NEVER_US
 
     def take(self, ask: Ask, most: int, run_us: int) -> int:
         """Put up to `most` tasks where `earliest` found room; returns how many."""
-        self.steps -= 1
+        self.remaining_steps -= 1
         heap = self._heap(ask)
         entry = heapq.heappop(heap)
-        machine = self.machines[entry.number]
+        machine = self.machines[entry.machine_index]
         count = machine.take(ask.spec, entry.at_us, most, run_us)
-        again_us = machine.earliest_us(ask.spec)
-        if again_us < NEVER_US and (count or again_us > entry.at_us):
-            again = QueueEntry(again_us, entry.number)
+        next_us = machine.earliest_us(ask.spec)
+        if next_us < NEVER_US and (count or next_us > entry.at_us):
+            next_entry = HeapEntry(next_us, entry.machine_index)
             if ask.spec.kind == "gang":
-                self._taken.append(again)
+                self._gang_entries.append(next_entry)
             else:
-                heapq.heappush(heap, again)
+                heapq.heappush(heap, next_entry)
         return count
 
-    def served(self, ask: Ask) -> None:
+    def finish_job(self, ask: Ask) -> None:
         """A job's tasks have their places: what its gang took may be taken again after it.
 
         Not before, for its tasks run at the same time.  The model test found a gang that waited for ever for a second
         machine, because the forecast ran half of it after the other half.
         """
         heap = self._heap(ask)
-        for entry in self._taken:
+        for entry in self._gang_entries:
             heapq.heappush(heap, entry)
-        self._taken.clear()
+        self._gang_entries.clear()
 
     def add(self, machine: FutureMachine, ask: Ask) -> None:
         """Add a machine that is called for: this job may use it, and so may others that it suits."""
         number = len(self.machines)
         self.machines.append(machine)
         self._heap(ask)
-        for allowed, heap in self._heaps.items():
-            if allowed.allows(machine):
-                heapq.heappush(heap, QueueEntry(machine.from_us, number))
+        for machine_filter, heap in self._heaps.items():
+            if machine_filter.allows(machine):
+                heapq.heappush(heap, HeapEntry(machine.from_us, number))
--- a/ashtray/fleet/group_edits.py
+++ b/ashtray/fleet/group_edits.py
@@ -19,7 +19,7 @@
     def __bool__(self) -> bool:
         return bool(self._edits)
 
-    def has_room(self, machine: Machine, other_changes: int) -> bool:
+    def can_add(self, machine: Machine, other_changes: int) -> bool:
         """Whether the transaction has room for a machine's group, beside other changes; the first always has."""
         limits = self.base.limits
         if machine.group in self._edits:
@@ -28,7 +28,7 @@
         fits = len(self._edits) + 1 + other_changes <= limits.ops and size <= limits.txn_bytes
         return fits or not self._edits
 
-    def of(self, machine: Machine) -> GroupEdit:
+    def edit_of(self, machine: Machine) -> GroupEdit:
         """The record of a machine's group, to be changed."""
         return self._edits.setdefault(machine.group, GroupEdit(self.cluster_state.groups[machine.group]))
 
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -81,7 +81,7 @@
         self.inventory.deleted.update((name, at_us - age_us) for name, age_us in book.gone.items())
         self.inventory.idle_since.update((name, at_us - age_us) for name, age_us in book.idle.items())
         # Counted anew with each term, a silent machine would keep the tasks of a cancelled job beyond `cancel_s`.
-        self.inventory.told_heard_us.update((name, at_us - age_us) for name, age_us in book.silent.items())
+        self.inventory.predecessor_heard_us.update((name, at_us - age_us) for name, age_us in book.silent.items())
         for name, zone, spot, pause_us, times in book.blocked:
             self.backoff.refusals[MachineKind(name, zone, spot)] = Refusal(at_us + pause_us, times)
         for name, zone, spot, ratio in book.boots:
@@ -98,7 +98,7 @@
                 return
             takeover.ok(Check.READ, self.kernel.now_us)
             # The other checks may wait for the cloud for long: a silent machine would keep a cancelled job's tasks.
-            self.inventory.know_machines()
+            self.inventory.note_known_machines()
         if takeover.missing(Check.INTENTS):
             if not (yield from self._repeat_intents()):
                 return
@@ -109,12 +109,12 @@
                 return
             takeover.ok(Check.LIST, self.kernel.now_us)
         if self.kernel.awake_us > takeover.began_us or not self.lease.holds():
-            self._check_again()
+            self._restart_checks()
             return
         takeover.ok(Check.AWAKE, self.kernel.now_us)
         self.kernel.log("info", f"the fleet was taken over: {takeover.stages()} s")
 
-    def _check_again(self) -> None:
+    def _restart_checks(self) -> None:
         """Set all checks back: the process stood still, or the key was lost."""
         self.takeover.again(self.kernel.now_us)
         self.takeover.ok(Check.TERM, self.kernel.now_us)
@@ -142,11 +142,11 @@
             intents.all = False
             return True
         self.provisioning.settle(self.base.cluster_state.machines)
-        asked = len(intents.unanswered())
+        repeated = len(intents.unanswered())
         if not (yield from self.provisioning.request_unanswered()):
             return False
         for intent in intents.open.values():
-            self.inventory.expect(intent, intent.names or ())
-        if asked:
-            self.kernel.log("info", f"asked again for {asked} rentals of the former runner")
+            self.inventory.expect_machines(intent, intent.names or ())
+        if repeated:
+            self.kernel.log("info", f"asked again for {repeated} rentals of the former runner")
         return True
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -20,9 +20,9 @@
 PAGE_SIZE = 500
 RUNNING, FAILED = "running", "failed"
 """States of a machine in the cloud's list."""
-INFORMED_WORDS = 3
+INFORMED_HEARTBEATS = 3
 """After so many pauses between their words all peers have told a new runner whom they hear."""
-QUIET_REPORTS = 2.5
+QUIET_REPORT_INTERVALS = 2.5
 """A machine is quiet after so many times the interval of reports: two are missing, each up to a quarter late."""
 DELETED_LAGS = 10
 """For how many times the list's lag a deleted machine is remembered."""
@@ -61,7 +61,7 @@
         self.idle_since: dict[str, int] = {}
         self.known_since: dict[str, int] = {}
         """When each machine with a record was first seen in this term."""
-        self.told_heard_us: dict[str, int] = {}
+        self.predecessor_heard_us: dict[str, int] = {}
         """When machines that had missed reports were last heard, by what the predecessor told."""
         self._term_us = 0
         """When this term began."""
@@ -74,10 +74,10 @@
         self.listed_us = 0
         self.idle_since.clear()
         self.known_since.clear()
-        self.told_heard_us.clear()
+        self.predecessor_heard_us.clear()
         self._term_us = self.kernel.now_us
 
-    def know_machines(self) -> None:
+    def note_known_machines(self) -> None:
         """Count the silence of all machines with a record from now on, unless it is counted already."""
         for name in self.base.cluster_state.machines:
             self.known_since.setdefault(name, self.kernel.now_us)
@@ -133,7 +133,7 @@
         """
         return name not in self.listed and name < self._newest
 
-    def expect(self, intent: Intent, names: Iterable[str]) -> None:
+    def expect_machines(self, intent: Intent, names: Iterable[str]) -> None:
         """Take machines that were rented for an intent into the pending ones, unless more is known of them."""
         age_us = max(self.kernel.wall_us - intent.at_us, 0)
         for name in names:
@@ -159,12 +159,12 @@
         report to a live controller that sends none are not silent: it cannot say that it hears them.
         """
         # Only the runner is told who hears which worker: peers need some time to say so to a new one.
-        mute = self.peers.mute()
-        until = min(self.kernel.now_us, self.peers.all_word_us(mute))
-        informed = until - self._term_us > INFORMED_WORDS * self.peers.word_us
-        return self._silences(mute, until, informed)
+        unheard = self.peers.mute()
+        until_us = min(self.kernel.now_us, self.peers.all_word_us(unheard))
+        informed = until_us - self._term_us > INFORMED_HEARTBEATS * self.peers.word_us
+        return self._silences(unheard, until_us, informed)
 
-    def _silences(self, mute: set[str], until: int, informed: bool) -> dict[str, int]:
+    def _silences(self, unheard: set[str], until_us: int, informed: bool) -> dict[str, int]:
         """The silences (us) up to a moment; only where `informed` does what the predecessor told count."""
         now = self.kernel.now_us
         presence = self.presence
@@ -173,10 +173,10 @@
         found = {}
         for name, machine in self.base.cluster_state.machines.items():
             last = max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)
-            told_us = self.told_heard_us.get(name)
+            told_us = self.predecessor_heard_us.get(name)
             if informed and told_us is not None:
                 last = max(heard.get(name, 0), told_us, awake_us)
-            found[name] = 0 if mute and presence.foreman(machine.group) in mute else max(until - last, 0)
+            found[name] = 0 if unheard and presence.foreman(machine.group) in unheard else max(until_us - last, 0)
         return found
 
     def heard_within(self, limit_us: int) -> set[str]:
@@ -190,7 +190,7 @@
         What the predecessor told is passed on at once, also where peers have not had the time yet to tell this runner
         whom they hear: a successor waits for their word before it relies on it (safety point 12).
         """
-        quiet_us = QUIET_REPORTS * self.base.settings.cluster.workers.report_s * SECOND_US
-        mute = self.peers.mute()
-        silences = self._silences(mute, min(self.kernel.now_us, self.peers.all_word_us(mute)), informed=True)
+        quiet_us = QUIET_REPORT_INTERVALS * self.base.settings.cluster.workers.report_s * SECOND_US
+        unheard = self.peers.mute()
+        silences = self._silences(unheard, min(self.kernel.now_us, self.peers.all_word_us(unheard)), informed=True)
         return {name: us for name, us in silences.items() if us > quiet_us}
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -22,7 +22,7 @@
 """So many silent machines are believed without a doubt about this controller's own view."""
 UNSURE_LEASES = 3
 """For how many leases machines must be silent when most of the fleet is."""
-URGENT_FACTOR = 6
+URGENT_IDLE_FACTOR = 6
 """The cheapest kind for an urgent class is kept idle so many times as long."""
 UNKNOWN_BOOT_US = 30 * SECOND_US
 
@@ -60,21 +60,21 @@
         pending_machines = self.inventory.pending
         heard = self.inventory.heard_within(self._lease_us) if pending_machines else set()
         lost: list[str] = []
-        freed: set[MachineKind] = set()
+        unblocked: set[MachineKind] = set()
         for name, pending in list(pending_machines.items()):
             if name in self.base.cluster_state.machines:
                 self.boot_times.record(pending.kind, pending.requested_us, now_us)
                 del pending_machines[name]
                 continue
-            late = self.boot_times.hopeless(pending.kind, pending.requested_us, now_us)
-            if not late and name not in heard and pending.kind not in freed and self._blocks_replacement(pending):
+            late = self.boot_times.should_give_up(pending.kind, pending.requested_us, now_us)
+            if not late and name not in heard and pending.kind not in unblocked and self._blocks_replacement(pending):
                 late = True
-                freed.add(pending.kind)
+                unblocked.add(pending.kind)
             if not self._given_up(name, pending, late, name in heard):
                 continue
             self.kernel.log("info", f"{name} never reported: given up")
             lost.append(name)
-            if pending.kind in freed:
+            if pending.kind in unblocked:
                 # The capacity that it took can be asked for again.
                 self.backoff.clear(pending.kind)
         return lost
@@ -88,10 +88,10 @@
             return self.inventory.listed.get(name) == FAILED
         now_us = self.kernel.now_us
         too_late = late and not pending.running
-        mute = pending.running and now_us - pending.running_us > self._lease_us
+        unheard = pending.running and now_us - pending.running_us > self._lease_us
         old = now_us - pending.requested_us > self.inventory.list_lag_us()
         vanished = self.inventory.unlisted(name) and old
-        return too_late or mute or vanished or self.inventory.listed.get(name) == FAILED
+        return too_late or unheard or vanished or self.inventory.listed.get(name) == FAILED
 
     def _blocks_replacement(self, pending: PendingMachine) -> bool:
         """Whether a machine that is overdue takes up the capacity for the one that would replace it.
@@ -102,7 +102,7 @@
         """
         kind = pending.kind
         overdue = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us) is None
-        if not overdue or pending.running or not self.backoff.waits(kind):
+        if not overdue or pending.running or not self.backoff.is_blocked(kind):
             return False
         machines = self.base.cluster_state.machines.values()
         return kind not in (MachineKind(m.type, m.zone, m.record.spot) for m in machines)
@@ -122,7 +122,7 @@
                 if name not in self.inventory.draining:
                     self.kernel.log("info", f"{name} is {loss.value}")
                 lost.append(name)
-            elif self._unused(machine):
+            elif self._idle_too_long(machine):
                 lost.append(name)
         return lost
 
@@ -142,7 +142,7 @@
         others are waited for (safety points 1 and 5).
         """
         cluster_state = self.base.cluster_state
-        return any(cluster_state.is_over(hold.job) for hold in cluster_state.machines[name].holds)
+        return any(cluster_state.is_over(allocation.job) for allocation in cluster_state.machines[name].holds)
 
     def _fails_tasks(self, machine: Machine) -> bool:
         return bool(machine.record.failed) and self.base.cluster_state.blame(machine) >= SICK_BLAME
@@ -157,7 +157,7 @@
             return Loss.MISSING
         return Loss.SILENT if silent else None
 
-    def _unused(self, machine: Machine) -> bool:
+    def _idle_too_long(self, machine: Machine) -> bool:
         """Whether a machine is idle and is not to be kept any longer; notes since when it is idle."""
         retiring = machine.record.retiring
         idle = not machine.holds and (machine.name not in self.forecaster.needed or retiring)
@@ -175,8 +175,8 @@
         """
         machine_type = self.base.cluster_state.types.get(machine.type)
         boot_us = machine_type.boot_us if machine_type is not None else UNKNOWN_BOOT_US
-        times = self.base.knobs.idle_boots
+        boots = self.base.knobs.idle_boots
         cheapest = self.forecaster.cheapest_for_urgent.values()
         if any(machine.type == kind.type and machine.record.spot == kind.spot for kind in cheapest):
-            times *= URGENT_FACTOR
-        return int(boot_us * times)
+            boots *= URGENT_IDLE_FACTOR
+        return int(boot_us * boots)
--- a/ashtray/fleet/provisioning.py
+++ b/ashtray/fleet/provisioning.py
@@ -24,13 +24,13 @@
 from ashtray.standby.takeover import Takeover
 from ashtray.store.client import VALUE_SHARE, Txn, Urgency
 
-FORECAST_US = 3_500
+FORECAST_PAUSE_PER_MACHINE_US = 3_500
 """The pause between two forecasts, for each machine that they go through."""
 MAX_PER_REQUEST = 50
 """Machines asked for in one request."""
-RECORD_SHARE = 0.5
+MAX_RECORD_SHARE = 0.5
 """Of the bytes of a value, what the record of intents may take."""
-CLOCK_US = 2 * SECOND_US
+MAX_CLOCK_SKEW_US = 2 * SECOND_US
 """How far two controllers' times of day may differ, with a reserve."""
 
 
@@ -80,12 +80,14 @@
 
     def _forecast_due(self) -> bool:
         """Whether to make the next forecast: each goes through the whole fleet and queue, so not in each round."""
-        pause_us = FORECAST_US * len(self.base.cluster_state.machines) * (1 if self._had_demand else 2)
+        pause_us = (
+            FORECAST_PAUSE_PER_MACHINE_US * len(self.base.cluster_state.machines) * (1 if self._had_demand else 2)
+        )
         return self.kernel.now_us - self._forecast_us >= pause_us
 
     def _rent(self, demand: dict[MachineKind, int]) -> Fiber[None]:
         batch: list[Intent] = []
-        build = partial(self._record_of, demand, batch)
+        build = partial(self._intents_transaction, demand, batch)
         # Safety point 22: the cloud hears of a request only once its name is committed.
         if not (yield from self.base.follower.commit(build, 1, Urgency.ACCEPT, "intent")):
             # It may be written all the same: what nobody has asked for is dropped with the next change.
@@ -93,7 +95,7 @@
         self.intents.begin(batch)
         yield from self.request_unanswered()
 
-    def _record_of(self, demand: dict[MachineKind, int], batch: list[Intent]) -> Txn | None:
+    def _intents_transaction(self, demand: dict[MachineKind, int], batch: list[Intent]) -> Txn | None:
         """Build the transaction that writes down, under the term, what is on its way and about to be.
 
         `batch` is filled with the new intents; settled ones are left out.  None if the fleet's key was lost.
@@ -104,7 +106,7 @@
         inventory = self.inventory
         self.settle(self.base.cluster_state.machines.keys() | inventory.listed.keys() | inventory.deleted.keys())
         self.intents.all = self.intents.all or self.lease.presence.upgraded(INTENTS)
-        max_bytes = self.base.limits.value_bytes * VALUE_SHARE * RECORD_SHARE
+        max_bytes = self.base.limits.value_bytes * VALUE_SHARE * MAX_RECORD_SHARE
         value = self.intents.value(self.base.settings.host_name, max_bytes, batch)
         txn = Txn().guard(RENTALS, self.base.cluster_state.version(RENTALS)).put(RENTALS, value)
         return self.lease.under_term(txn)
@@ -118,7 +120,7 @@
 
     def settle(self, seen: Container[str]) -> None:
         """Drop intents whose machines were seen, or that are so old that the list must show them."""
-        self.intents.settle(seen, self.kernel.wall_us - self.inventory.list_lag_us() - CLOCK_US)
+        self.intents.settle(seen, self.kernel.wall_us - self.inventory.list_lag_us() - MAX_CLOCK_SKEW_US)
 
     def request_unanswered(self) -> Fiber[bool]:
         """Ask the cloud for what has no answer yet; False where it gives none."""
@@ -142,7 +144,7 @@
             self.intents.answered(intent.request, names)
         else:
             self.intents.refused(intent.request)
-        self.inventory.expect(intent, names)
+        self.inventory.expect_machines(intent, names)
         self._note_capacity(intent, reply, names)
         return True
 
@@ -153,7 +155,7 @@
             self.kernel.log("info", f"rented {len(names)} of {intent.number} {kind.describe()}")
         short = reply.status == 200 and len(names) < intent.number
         if short or (reply.status == 503 and error_of(reply) == NO_CAPACITY):
-            self.backoff.refused(kind)
+            self.backoff.record_refusal(kind)
             self.kernel.log("info", f"no capacity for {kind.describe()}")
         elif names:
             self.backoff.clear(kind)
--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -18,10 +18,10 @@
 
 Types = dict[str, MachineType]
 """Machine types by their names."""
-Change = tuple[str, Types | None]
+RecordWrite = tuple[str, Types | None]
 """A key and its new record; None: the key is removed."""
 REFRESH_US = 60 * SECOND_US
-WRITE_AGAIN_US = 5 * SECOND_US
+WRITE_RETRY_US = 5 * SECOND_US
 """The cloud is asked again so soon where the answer could not be written down."""
 
 
@@ -41,7 +41,7 @@
         if self._unwritten is not None and self._is_written(self._unwritten):
             # By another controller: where all start together, all ask the cloud, and one writes.
             self._unwritten = None
-        pause_us = REFRESH_US if self._unwritten is None else WRITE_AGAIN_US
+        pause_us = REFRESH_US if self._unwritten is None else WRITE_RETRY_US
         due = self.kernel.now_us - self._read_us >= pause_us
         wanted = running or not self.base.cluster_state.types
         if not (self.base.follower.loaded and due and wanted):
@@ -71,9 +71,9 @@
         own = sorted(key for key in records if key != TYPES and records[key] != known.get(key))
         if not (yield from self._commit({key: records[key] for key in own}, ())):
             return False
-        gone = sorted(key for key in known if key not in records)
+        removed_keys = sorted(key for key in known if key not in records)
         changed = {TYPES: records[TYPES]} if records[TYPES] != known.get(TYPES) else {}
-        return (yield from self._commit(changed, gone))
+        return (yield from self._commit(changed, removed_keys))
 
     def _records(self, types: Types) -> dict[str, Types]:
         """The records that say which types there are: one, or where that would be too large one for each as well."""
@@ -84,22 +84,22 @@
 
     def _commit(self, puts: dict[str, Types], removes: Iterable[str]) -> Fiber[bool]:
         """Write and remove records, as many in a transaction as it takes; False: one of them failed."""
-        left: list[Change] = [*puts.items(), *((key, None) for key in removes)]
-        while left:
-            txn = self._transaction(left)
-            left = left[txn.changes() :]
+        remaining: list[RecordWrite] = [*puts.items(), *((key, None) for key in removes)]
+        while remaining:
+            txn = self._transaction(remaining)
+            remaining = remaining[txn.changes() :]
             build = partial(lambda txn: txn, txn)
             if not (yield from self.base.follower.commit(build, txn.changes(), Urgency.BOOKKEEPING, "fleet")):
                 return False
         return True
 
-    def _transaction(self, changes: list[Change]) -> Txn:
+    def _transaction(self, changes: list[RecordWrite]) -> Txn:
         """The first of some changes, as many as fit into one transaction and at least one."""
-        txn, room = Txn(), self.base.limits.txn_bytes
+        txn, free_bytes = Txn(), self.base.limits.txn_bytes
         for key, record in changes[: self.base.limits.ops]:
             value = None if record is None else msgspec.to_builtins(record)
-            room -= 0 if value is None else compact_record.size_of(value)
-            if room < 0 and txn.changes():
+            free_bytes -= 0 if value is None else compact_record.size_of(value)
+            if free_bytes < 0 and txn.changes():
                 break
             txn.guard(key, self.base.cluster_state.version(key))
             if value is None:
--- a/tests/mutants/close_looks.py
+++ b/tests/mutants/close_looks.py
@@ -11,7 +11,11 @@
         "if False:",
     ),
     "all-types-said-first": (TYPES, "for key in records if key != TYPES and", "for key in records if"),
-    "types-that-are-gone-stay": (TYPES, "gone = sorted(key for key in known if key not in records)", "gone = []"),
+    "types-that-are-gone-stay": (
+        TYPES,
+        "removed_keys = sorted(key for key in known if key not in records)",
+        "removed_keys = []",
+    ),
     "failed-catalogue-waits-a-minute": (
         TYPES,
         "self._unwritten = None if written else types",
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -52,7 +52,7 @@
     ),
     "silence-counted-from-the-end-of-a-takeover": (
         "ashtray/fleet/handover.py",
-        "            self.inventory.know_machines()\n",
+        "            self.inventory.note_known_machines()\n",
         "",
     ),
     "order-answers-clear-what-went-out-to-reports": (
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -138,7 +138,7 @@
     ),
     "heir-forgets-what-is-coming": (
         HANDOVER,
-        "            self.inventory.expect(intent, intent.names or ())",
+        "            self.inventory.expect_machines(intent, intent.names or ())",
         "            pass",
     ),
     "rents-without-the-term": (FLEET_LEASE, "        return txn.guard(FLEET, self.term)", "        return txn"),
@@ -255,8 +255,8 @@
     ),
     "mute-is-silent": (
         INVENTORY,
-        "found[name] = 0 if mute and presence.foreman(machine.group) in mute else max(until - last, 0)",
-        "found[name] = max(until - last, 0)",
+        "found[name] = 0 if unheard and presence.foreman(machine.group) in unheard else max(until_us - last, 0)",
+        "found[name] = max(until_us - last, 0)",
     ),
     "term-outlives-lease": (FLEET_LEASE, "if self.running and not self.holds():", "if False:"),
     "late-list-condemns": (
@@ -264,7 +264,7 @@
         "return name not in self.listed and name < self._newest",
         "return name not in self.listed",
     ),
-    "all-late-given-up": ("ashtray/fleet/boot_times.py", "LONGER = 3.0", "LONGER = 1.0"),
+    "all-late-given-up": ("ashtray/fleet/boot_times.py", "NOT_OVERTAKEN_FACTOR = 3.0", "NOT_OVERTAKEN_FACTOR = 1.0"),
     "mistakes-condemn": (MACHINE_HEALTH, "return NO_BLAME if job.suspect else HALF_BLAME", "return HALF_BLAME"),
     "done-may-be-cancelled": (
         CANCELLING,
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -196,12 +196,12 @@
     kind = MachineKind("small", "a", False)
     boot_times = BootTimes(cluster_state, 2.5)
     late = 70 * SECOND
-    assert boot_times.remaining_us(kind, 0, late) is None and not boot_times.hopeless(kind, 0, late)
+    assert boot_times.remaining_us(kind, 0, late) is None and not boot_times.should_give_up(kind, 0, late)
     # Not for ever, though.
-    assert boot_times.hopeless(kind, 0, 4 * late)
+    assert boot_times.should_give_up(kind, 0, 4 * late)
     # One asked for later has come up at the usual speed.
     boot_times.record(kind, 40 * SECOND, 60 * SECOND)
-    assert boot_times.hopeless(kind, 0, late)
+    assert boot_times.should_give_up(kind, 0, late)
     # While they take long this is learnt, and forgotten when it is over.
     for n in range(20):
         boot_times.record(kind, n * SECOND, (n + 80) * SECOND)
