--- a/ashtray/fleet/__init__.py
+++ b/ashtray/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: renting, returning and giving up on them."""
+"""The fleet: renting machines from the cloud, returning them, and giving up those that fail."""
--- a/ashtray/fleet/cloud_client.py
+++ b/ashtray/fleet/cloud_client.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud, within its request rate and with a pause after an error."""
+"""Sends requests to the cloud, within its rate limit and with a pause after an error."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 TIMEOUT_US = 5 * SECOND_US
 RATE_SHARE = 0.8
-"""Of the cloud's request rate, what this controller uses."""
+"""The share of the cloud's rate limit that this controller uses."""
 TROUBLE = "trouble"
-"""The error with which the cloud answers while it is out of order."""
+"""The error that the cloud answers while it is out of order."""
 NO_CAPACITY = "no capacity"
-"""The error with which the cloud answers when it has no machine of a kind to rent."""
+"""The error that the cloud answers when it has no machine of the requested kind."""
 
 
 def error_of(reply: Reply) -> str | None:
-    """The error that the body of an answer names, or None."""
+    """Return the error that the body of a reply names, or None."""
     error: str | None = (reply.body or {}).get("error")
     return error
 
 
 class CloudClient:
-    """Sends one request after the other; the caller decides what to do about errors."""
+    """Sends one request at a time.  Callers handle errors themselves."""
 
     def __init__(self, base: Base) -> None:
         self.base = base
@@ -34,16 +34,17 @@
         self.pause_until_us = 0
 
     def paused(self) -> bool:
-        """Whether a request failed so recently that none should be sent yet."""
+        """Return whether a request failed so recently that no other should be sent yet."""
         return self.kernel.now_us < self.pause_until_us
 
     def request(
         self, method: str, path: str, body: Any = None, allowed: Callable[[], bool] = lambda: True
     ) -> Fiber[Reply]:
-        """Send one request when the rate allows it.
+        """Send one request as soon as the rate limit allows it, and return the reply.
 
-        `allowed` is asked after the wait, immediately before the request is sent; where it says no, the answer is a
-        refused reply of status 0.  A reply of status 0 that was not refused means that the effect is unknown.
+        `allowed` is called after that wait, immediately before the request is sent.  If it returns False, nothing is
+        sent and the reply has status 0 with `refused` set.  Status 0 without `refused` means that it is unknown
+        whether the cloud executed the request.
         """
         yield from self._wait_for_turn()
         if not allowed():
--- a/ashtray/fleet/group_edits.py
+++ b/ashtray/fleet/group_edits.py
@@ -1,4 +1,4 @@
-"""Changes of machines' records for one transaction, as many as it takes."""
+"""Collects changes to group records for one transaction, up to the size of a transaction."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class GroupEdits:
-    """Records of groups that are being changed, each of which is written whole."""
+    """The group records that a transaction changes.  Each record is written whole."""
 
     def __init__(self, base: Base) -> None:
         self.base = base
@@ -20,7 +20,7 @@
         return bool(self._edits)
 
     def can_add(self, machine: Machine, other_changes: int) -> bool:
-        """Whether the transaction has room for a machine's group, beside other changes; the first always has."""
+        """Return whether a machine's group still fits beside `other_changes` writes; the first group always fits."""
         limits = self.base.limits
         if machine.group in self._edits:
             return len(self._edits) + other_changes <= limits.ops
@@ -29,14 +29,14 @@
         return fits or not self._edits
 
     def edit_of(self, machine: Machine) -> GroupEdit:
-        """The record of a machine's group, to be changed."""
+        """Return the edit of a machine's group record; begin one if there is none."""
         return self._edits.setdefault(machine.group, GroupEdit(self.cluster_state.groups[machine.group]))
 
     def write(self, txn: Txn, names: list[str]) -> Txn | None:
-        """Put the changed records into a transaction; None if nothing is changed.
+        """Add the changed records to a transaction and return it, or None if it changes nothing.
 
-        Takes out of `names` the machines in records that are too large, which cannot be written before they have been
-        split (safety point 16).
+        A record that is too large cannot be written before its group is split (safety point 16): the machines of such
+        groups are removed from `names`.
         """
         for key, edit in self._edits.items():
             if not edit.write(txn, self.base.limits, self.cluster_state.is_live):
--- a/ashtray/fleet/machine_kind.py
+++ b/ashtray/fleet/machine_kind.py
@@ -1,4 +1,4 @@
-"""What the cloud is asked for: a machine type in a zone, on demand or as a spot machine."""
+"""Machine kinds: a machine type in a zone, on demand or as a spot machine."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class MachineKind(NamedTuple):
-    """A kind of machine.  Kinds compare and sort by their fields in this order."""
+    """A kind of machine that the cloud rents.  Kinds sort by their fields, in this order."""
 
     type: str
     """The name of the machine type."""
     zone: str
     spot: bool
-    """The cloud may take the machine back, and rents it for less."""
+    """A spot machine: cheaper, but the cloud may take it back at any time."""
 
     def describe(self) -> str:
-        """The kind as log lines show it, such as `spot small in a`."""
+        """Return the kind as log lines show it, such as `spot small in a`."""
         return f"{'spot ' if self.spot else ''}{self.type} in {self.zone}"
 
 
 NO_KIND = MachineKind("", "", False)
-"""Stands for a kind that no machine type offers."""
+"""A placeholder that equals no kind that the cloud offers."""
--- a/ashtray/fleet/messages.py
+++ b/ashtray/fleet/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the cloud's API.  Its field names appear in this module only."""
+"""The messages of the cloud's API.  Only this module uses the API's own field names."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OfferedType(msgspec.Struct, rename={"gpus": "cards", "price": "rate", "boot_s": "ready_s", "zones": "yards"}):
-    """A machine type that the cloud rents; prices are by the hour."""
+    """A machine type that the cloud rents.  Prices are per hour, `boot_s` is in seconds."""
 
     name: str
     cpus: float
@@ -23,8 +23,9 @@
     boot_s: float
     zones: list[str]
     local_gb: float = 0.0
-    """The disk for images, in GB."""
+    """The size of the local disk that holds images, in GB."""
     pull_gb_per_s: float = 1.0
+    """How fast a machine fetches images."""
 
 
 class ListedMachine(
@@ -38,27 +39,27 @@
     spot: bool
     state: str
     age_s: float
-    """How long ago it was requested."""
+    """How long ago the machine was requested."""
     endpoint: str = ""
 
     @property
     def kind(self) -> MachineKind:
-        """The kind as which it was rented."""
+        """Return the kind under which the machine was rented."""
         return MachineKind(self.type, self.zone, self.spot)
 
 
 class MachineList(msgspec.Struct, rename={"machines": "berths"}):
-    """One page of the cloud's list, in the order of names."""
+    """One page of the cloud's list, sorted by name."""
 
     machines: list[ListedMachine]
     truncated: bool = False
-    """More pages follow."""
+    """Whether more pages follow."""
 
 
 def parse_types(body: Any) -> dict[str, MachineType]:
-    """Read the answer to a request for the machine types.
+    """Parse the reply to a request for the machine types, and return them by name.
 
-    Raises msgspec.ValidationError, KeyError or TypeError for a body of another form.
+    Raises msgspec.ValidationError, KeyError or TypeError if the body does not have the expected form.
     """
     types = msgspec.convert(body["hulls"], list[OfferedType])
     return {offered.name: _machine_type(offered) for offered in types}
@@ -80,16 +81,16 @@
 
 
 def rental(request: str, kind: MachineKind, number: int) -> dict[str, Any]:
-    """The body of a request for machines; the cloud rents nothing twice for one request name."""
+    """Return the body of a request for machines.  The cloud executes each request name at most once."""
     return {"hire": request, "hull": kind.type, "yard": kind.zone, "loaners": kind.spot, "number": number}
 
 
 def rented_names(body: Any) -> list[str]:
-    """The names of the machines that the cloud has rented for a request."""
+    """Return the names of the machines in the reply to a request for machines."""
     names: list[str] = body.get("berths", [])
     return names
 
 
 def deletion(names: list[str]) -> dict[str, Any]:
-    """The body of a request to delete machines."""
+    """Return the body of a request to delete machines."""
     return {"berths": names}
