--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -1,7 +1,8 @@
-"""Returning machines: they are drained, deleted in the cloud, and what was on them is freed.
+"""Returns machines: drains them, deletes them in the cloud, and frees their allocations.
 
-The order keeps safety points 1 and 2 of `docs/design.md`: a machine is marked in its group's record, so that nothing
-is placed there any more, then deleted, and its tasks are placed elsewhere only once the cloud has confirmed that.
+This order keeps safety points 1 and 2 of `docs/design.md`: first a machine is marked in its group record, so that no
+task is placed on it any more; then it is deleted; only once the cloud has confirmed the deletion are its tasks placed
+elsewhere.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 from ashtray.store.client import Txn, Urgency
 
 MAX_COMMITS = 12
-"""Commits in a row for one step: what is left then waits for the next round."""
+"""The most commits in a row for one step; the remaining machines wait for the next round."""
 MAX_DELETED = 100
-"""Machines deleted with one request."""
+"""The most machines deleted with one request."""
 MAX_EXPECTED_WRITES = 8
-"""Changes that a freeing waits for at the most before it is built."""
+"""The most writes for which a removal waits in the write budget before it is built."""
 
 
 class Decommissioning:
-    """Takes machines out of service; `inventory.draining` has those that are to be deleted."""
+    """Takes machines out of service.  `inventory.draining` holds the machines that are to be deleted."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
     # Draining
 
     def drain_lost(self) -> Fiber[None]:
-        """Begin to return what never came up, what fell silent, what failed, and what is idle."""
+        """Begin to return machines that never came up, fell silent, failed or are idle."""
         lost = self.review.lost_pending() + self.review.lost_or_idle()
         yield from self._checkpoint_gangs()
         machines = self.base.cluster_state.machines
@@ -58,9 +59,10 @@
         yield from self._drain([name for name in lost if name in machines])
 
     def _checkpoint_gangs(self) -> Fiber[None]:
-        """Stop gangs that are about to lose a machine in the orderly way: all their tasks at once, so that they save.
+        """Preempt the gangs that are about to lose a machine: all tasks at once, so that they write a checkpoint.
 
-        A gang that cannot be stopped in one transaction is left to its last checkpoint, for a part would lose it all.
+        A gang that cannot be stopped in one transaction goes on and falls back to its last checkpoint: stopping only
+        some of its tasks would lose the progress of all.
         """
         cluster_state = self.base.cluster_state
         seen: set[str] = set()
@@ -80,10 +82,10 @@
             victims.setdefault(name, {}).setdefault((job.id, allocation.attempt), set()).update(allocation.tasks)
         build = partial(stop_victims, self.base.cluster_state, victims, self.base.limits, whole=True)
         if (yield from self.base.follower.commit(build, len(victims), Urgency.FREE, "stop")):
-            self.kernel.log("info", f"{job.id} saves: {machine.name} goes")
+            self.kernel.log("info", f"{job.id} is stopped with a checkpoint: {machine.name} is being returned")
 
     def _drain(self, names: list[str]) -> Fiber[None]:
-        """Mark machines as being returned, so that nothing is placed on them any more; those of a group together."""
+        """Mark machines as being returned, one write for each group, so that nothing is placed on them any more."""
         marked: list[str] = []
         draining = self.inventory.draining
         remaining = [name for name in names if name not in draining]
@@ -106,9 +108,10 @@
                 break
 
     def _drain_transaction(self, names: list[str], idle: set[str], marked: list[str]) -> Txn | None:
-        """Build the transaction that marks machines; `marked` is filled with those that it marks.
+        """Build the transaction that marks machines as being returned, and put their names into `marked`.
 
-        Machines that were idle when they were chosen may have got tasks meanwhile: these stay.
+        A machine in `idle` that has got tasks since it was chosen is not marked.  Returns None if nothing is to be
+        marked or this controller does not hold the fleet lease.
         """
         marked.clear()
         if not self.lease.holds():
@@ -120,7 +123,7 @@
                 continue
             if not edits.can_add(machine, 0):
                 continue
-            # Safety point 1: placement ends here before the machine is deleted.
+            # Safety point 1: placement on the machine ends before the machine is deleted.
             edits.edit_of(machine).machine(name).retiring = True
             marked.append(name)
         return edits.write(self.lease.under_term(Txn()), marked)
@@ -128,7 +131,7 @@
     # Deletion
 
     def delete_drained(self) -> Fiber[None]:
-        """Delete what is drained; when the cloud has confirmed it, free what was on it."""
+        """Delete the drained machines; once the cloud has confirmed that, free their allocations."""
         self._keep_adopted()
         names = sorted(self.inventory.draining)[:MAX_DELETED]
         if not names:
@@ -142,21 +145,21 @@
         self.inventory.forget_deleted()
 
     def _keep_adopted(self) -> None:
-        """Keep machines that were given up before they had a record, and have come up before they could be deleted.
+        """Keep machines that were given up before they had a record, but came up before they were deleted.
 
-        Tasks may have been placed on them: only a marked machine is deleted (safety point 1).
+        Tasks may have been placed on them, and only a marked machine may be deleted (safety point 1).
         """
         machines = self.base.cluster_state.machines
         draining = self.inventory.draining
         adopted = [name for name in draining if name in machines and not machines[name].record.retiring]
         for name in adopted:
-            self.kernel.log("info", f"{name} came up after all: kept")
+            self.kernel.log("info", f"{name} came up after it was given up: it is kept")
         draining.difference_update(adopted)
 
     # Freeing
 
     def _remove_deleted(self, names: list[str]) -> Fiber[None]:
-        """Take machines that are surely gone out of their groups, with all that they held."""
+        """Remove machines whose deletion is confirmed from their group records, with their allocations."""
         draining = self.inventory.draining
         machines = self.base.cluster_state.machines
         removed: list[str] = []
@@ -178,7 +181,7 @@
         draining.difference_update(name for name in names if name not in machines)
 
     def _drain_unmarked(self, names: list[str]) -> Fiber[None]:
-        """Mark deleted machines that were adopted after they were drained: placement on them must stop first."""
+        """Mark deleted machines that got a record after they were given up: placement on them must stop first."""
         machines = self.base.cluster_state.machines
         unmarked = [name for name in names if not machines[name].record.retiring]
         if unmarked:
@@ -188,10 +191,10 @@
     def _note_removed(self, names: list[str]) -> None:
         for name in names:
             self.inventory.known_since.pop(name, None)
-            self.kernel.log("info", f"{name} is gone")
+            self.kernel.log("info", f"{name} is deleted and removed from its group")
 
     def _removal_transaction(self, names: list[str], removed: list[str]) -> Txn | None:
-        """Build the transaction that frees machines; `removed` is filled with those that it frees."""
+        """Build the transaction that removes machines, and put their names into `removed`; None if there is none."""
         edits = GroupEdits(self.base)
         broken: dict[str, int] = {}
         removed.clear()
@@ -201,7 +204,7 @@
                 continue
             gangs = {**broken, **self._broken_gangs(machine)}
             if not edits and len(gangs) >= self.base.limits.ops:
-                # More gangs than a transaction takes: some are marked first, and the machine goes in a later turn.
+                # More gangs than fit into a transaction: mark some as broken, and remove the machine in a later one.
                 broken = dict(list(gangs.items())[: self.base.limits.ops])
                 break
             if not edits.can_add(machine, len(gangs)):
@@ -216,7 +219,7 @@
         return edits.write(txn, removed)
 
     def _broken_gangs(self, machine: Machine) -> dict[str, int]:
-        """The gangs that lose tasks with a machine, and the attempt that ends with it."""
+        """Return the gangs that lose tasks with a machine, each with the attempt that ends."""
         broken = {}
         for allocation in machine.holds:
             job = self.base.cluster_state.jobs.get(allocation.job)
--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -1,7 +1,7 @@
-"""Which machines are to be rented: those without which tasks would wait longer than renting is worth.
+"""Computes which machines to rent: those without which tasks would wait longer than the price of a machine is worth.
 
-The queue is served in a forecast on the machines that are present and pending.  A task that would start later than a
-new machine of some kind could take it, and later by more than that kind's price is worth, calls for such a machine.
+A forecast serves the queue on the machines that are present and pending.  A new machine of some kind is called for
+where it would let a task start so much earlier that this is worth the price of the kind.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 from ashtray.placement.rules import Ask, Room
 
 LARGE_PREMIUM = 0.2
-"""A kind of machine that costs so much more than the cheapest is taken only when time runs out."""
+"""A kind whose price exceeds the cheapest by more than this share is rented only when a job is about to be late."""
 MAX_DEMAND = 300
-"""Machines called for by one forecast."""
+"""The most machines that one forecast calls for."""
 MIN_HEDGES = 2
 HEDGE_DIVISOR = 3
-"""Of the pending machines of a kind, one in so many may be requested a second time when it is overdue."""
+"""One in this many pending machines of a kind, but at least `MIN_HEDGES`, may be replaced while it is overdue."""
 
 
 class Candidate(NamedTuple):
-    """A kind of machine that a job may use.  Candidates sort by price."""
+    """A machine kind that a job may use.  Candidates sort by price."""
 
     price: float
-    """The price for each task of the job that it can run, an hour."""
+    """The price per hour for each task of the job that the machine can run at a time."""
     kind: MachineKind
 
 
 @dataclass(frozen=True)
 class Threshold:
-    """A machine of this kind is called for where a task would start later than this time of day."""
+    """Calls for a machine of `kind` where a task would start after `start_us` (time of day)."""
 
     start_us: int
     kind: MachineKind
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class TaskSubset:
-    """Tasks of a job that are served together."""
+    """Tasks of a job that the forecast serves together."""
 
     ask: Ask
     tasks: int
 
 
 class DemandForecaster:
-    """Computes the demand for machines, and keeps what returning machines needs to know of it."""
+    """Computes the demand for machines, and keeps what the decision to return machines depends on."""
 
     def __init__(
         self,
@@ -78,16 +78,16 @@
         self.boot_times = boot_times
         self.backoff = backoff
         self.needed: set[str] = set()
-        """Machines that the last forecast gives to tasks that wait.
+        """The machines on which the last forecast placed waiting tasks.
 
-        A gang's machines come up one after the other: returned as idle before the last one is up, they would
-        never be present together.
+        The machines of a gang come up one after the other.  If the first ones were returned as idle before the last
+        one is up, they would never be present together.
         """
         self.cheapest_for_urgent: dict[str, MachineKind] = {}
-        """For each class with an aim on waiting, the kind that serves it at the least price."""
+        """For each job class with an objective for waiting times, the kind that serves it at the lowest price."""
 
     def compute(self) -> dict[MachineKind, int]:
-        """How many machines of each kind are to be rented now."""
+        """Return how many machines of each kind are to be rented now."""
         wall_us = self.kernel.wall_us
         plan = self.planner.plan()
         jobs, _ = self.planner.queue()
@@ -109,10 +109,10 @@
         return demand
 
     def _add_pending(self, plan: Plan) -> dict[str, int]:
-        """Add the pending machines to a plan; returns when each may be expected, as the time of day."""
+        """Add the pending machines to a plan, and return when each of them is expected (time of day, us)."""
         ready_us: dict[str, int] = {}
         pending_by_kind = Counter(pending.kind for pending in self.inventory.pending.values())
-        # At the worst a third as many machines again are paid for.
+        # Bounds the cost when overdue machines come up after all: about a third more machines than needed.
         hedges = {kind: max(number // HEDGE_DIVISOR, MIN_HEDGES) for kind, number in pending_by_kind.items()}
         for name, pending in self.inventory.pending.items():
             kind = pending.kind
@@ -122,7 +122,7 @@
                 continue
             remaining_us = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us)
             if remaining_us is None and hedges[kind] > 0:
-                # Overdue: another one is called for, and this one is used all the same should it come.
+                # Not counted, so the forecast calls for a replacement.  If the machine comes up, it is used, too.
                 hedges[kind] -= 1
                 continue
             plan.rooms.append(self._empty_machine(name, kind))
@@ -131,13 +131,13 @@
         return ready_us
 
     def _empty_machine(self, name: str, kind: MachineKind) -> Room:
-        """The room of a machine that is not present yet."""
+        """Return the free resources of a machine that is not present yet: all of its type's."""
         spec = self.base.cluster_state.types[kind.type]
         machine = Machine(name, name, kind.type, kind.zone, {"address": "", "spot": kind.spot})
         return Room(machine, spec, spec.cpus, spec.gpus, spec.memory_gb)
 
     def _split_by_zone(self, ask: Ask, tasks: int) -> list[TaskSubset]:
-        """The tasks of a job that must be spread, zone by zone; the tasks of any other job are one part."""
+        """Split the tasks of a job with `spread` by zone; the tasks of any other job are one subset."""
         cluster = self.base.settings.cluster
         zones = [zone for zone in cluster.zones if ask.spec.zone in (None, zone) and ask.zone in (None, zone)]
         if not ask.spec.spread or len(zones) < 2:
@@ -151,7 +151,7 @@
         return [subset for subset in subsets if subset.tasks > 0]
 
     def _serve(self, job: Job, subset: TaskSubset, forecast: Forecast, demand: dict[MachineKind, int]) -> None:
-        """Give tasks their places in the forecast, and add to the demand the machines that they call for."""
+        """Place tasks in the forecast, and add the machines that they call for to `demand`."""
         ask, remaining = subset.ask, subset.tasks
         run_us = self.pace.run_us(job)
         thresholds = self._thresholds(job, ask)
@@ -170,9 +170,9 @@
         forecast.finish_job(ask)
 
     def _thresholds(self, job: Job, ask: Ask) -> list[Threshold]:
-        """The kinds that may be rented for a job, the cheapest first.
+        """Return the kinds that may be rented for a job with their thresholds, the cheapest first.
 
-        Chooses the zone for a job whose tasks must share one, where none of them has a place yet.
+        If all tasks of the job must run in one zone and none is placed yet, this chooses the zone.
         """
         suitable = self._candidates(job.spec)
         cheapest = suitable[0] if suitable else Candidate(0.0, NO_KIND)
@@ -190,7 +190,7 @@
         ]
 
     def _candidates(self, spec: JobSpec) -> list[Candidate]:
-        """The kinds of machine that a job may use, the cheapest for each of its tasks first."""
+        """Return the machine kinds that a job may use, sorted by the price for each task."""
         found = []
         for machine_type in self.base.cluster_state.types.values():
             fits = machine_type.fits(spec.cpus, spec.gpus, spec.memory_gb)
@@ -204,10 +204,10 @@
     def _threshold(
         self, candidate: Candidate, cheapest_price: float, patience_s: float, latest_us: int | None
     ) -> Threshold:
-        """From which start time on a candidate is worth its price.
+        """Return from which expected start time on a candidate is worth its price.
 
-        `patience_s`: how long the job may wait rather than pay the cheapest price once more; `latest_us`: by when it
-        should start to be done in time, if that is stated.
+        `patience_s`: how long the job waits rather than pay the cheapest price once more.  `latest_us`: when the job
+        has to start to be done in time, if it has an objective for that.
         """
         premium = max(candidate.price / cheapest_price - 1.0, 0.0) if cheapest_price else 0.0
         premium_wait_us = int(patience_s * SECOND_US * premium)
@@ -215,14 +215,14 @@
         ready_us = wall_us + self.boot_times.expected_us(candidate.kind)
         start_us = ready_us + premium_wait_us + SECOND_US
         if latest_us is not None:
-            # Machines that are present will do while the job can still be done in time: a machine that boots for one
-            # short task costs more than the task does.
+            # While the job can still be done in time it waits for the present machines: booting a machine for one
+            # short task costs more than the task itself.
             start_us = max(start_us, latest_us if premium > LARGE_PREMIUM else (wall_us + latest_us) // 2)
         return Threshold(start_us, candidate.kind)
 
 
 def _kinds(machine_type: MachineType, spec: JobSpec) -> Iterator[MachineKind]:
-    """The kinds of a machine type that a job allows."""
+    """Yield the kinds of a machine type that a job allows."""
     for zone in machine_type.zones:
         if spec.zone in (None, zone):
             if spec.spot:
--- a/ashtray/fleet/forecast.py
+++ b/ashtray/fleet/forecast.py
@@ -1,4 +1,4 @@
-"""When the queue would be served by the machines that are present or pending, and what renting would change."""
+"""Forecasts when the present and pending machines would serve the queue, and what renting more would change."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from ashtray.placement.rules import Ask, Room
 
 NEVER_US = 1 << 62
+"""The start time of a task that no machine of the forecast can run."""
 MAX_STEPS = 4000
-"""Machines looked at in one forecast: more is left for the next one."""
+"""The most placements in one forecast; the rest of the queue waits for the next one."""
 EPSILON = 1e-6
+"""The tolerance for rounding errors when resources are compared."""
 STOPPING_US = 2 * SECOND_US
-"""How long tasks that were told to stop may be expected to hold their places."""
+"""How long tasks that are being stopped are expected to keep their resources."""
 
 
 class Release(NamedTuple):
-    """Room that tasks free on a machine at a time of day.  Releases sort by time."""
+    """Resources that tasks free on a machine at a time of day.  Releases sort by time."""
 
     at_us: int
     cpus: float
@@ -31,20 +33,20 @@
 
 
 class FutureMachine:
-    """A machine with the room that is free on it, from when on, and what will be freed later."""
+    """A machine with its free resources, the time from which they are free, and the releases after that."""
 
     __slots__ = ("room", "from_us", "releases", "used")
 
     def __init__(self, room: Room, from_us: int, releases: list[Release]) -> None:
         self.room = room
         self.from_us = from_us
-        """The time of day from which on tasks can start here."""
+        """The time of day from which tasks can start on the machine."""
         self.releases = sorted(releases)
         self.used = False
-        """Whether tasks that wait were put here."""
+        """Whether the forecast has placed waiting tasks on the machine."""
 
     def earliest_us(self, spec: JobSpec) -> int:
-        """The time of day at which a task of this size fits."""
+        """Return the time of day from which a task of the job fits, or `NEVER_US`."""
         if self.room.fits(spec):
             return self.from_us
         cpus, gpus, memory_gb = self.room.cpus, self.room.gpus, self.room.memory_gb
@@ -58,7 +60,7 @@
         return NEVER_US
 
     def take(self, spec: JobSpec, at_us: int, most: int, run_us: int) -> int:
-        """Put up to `most` tasks here at that time, and return how many fit; what is put later starts no earlier."""
+        """Place up to `most` tasks at `at_us`, and return how many fit.  Later placements start no earlier."""
         self.from_us = max(self.from_us, at_us)
         while self.releases and self.releases[0].at_us <= at_us:
             release = self.releases.pop(0)
@@ -77,14 +79,14 @@
 def allocation_ends_us(
     cluster_state: ClusterState, allocation: Allocation, wall_us: int, run_us: Callable[[Job], int]
 ) -> int:
-    """When the tasks of a hold may be expected to end, as the time of day."""
+    """Return when the tasks of an allocation are expected to end (time of day, us)."""
     job = cluster_state.jobs.get(allocation.job)
     if job is None or allocation.record.stop_us >= 0:
         return wall_us + STOPPING_US
     if job.spec.kind == "service":
         return NEVER_US
     end_us = allocation.record.placed_us + run_us(job)
-    # A task that runs over its estimate is as likely to go on for a part of what it has run.
+    # A task that has overrun its estimate is expected to go on for a quarter of the time that it has run.
     return max(end_us, wall_us + (wall_us - allocation.record.placed_us) // 4 + SECOND_US)
 
 
@@ -95,7 +97,7 @@
     ready_us: dict[str, int],
     run_us: Callable[[Job], int],
 ) -> list[FutureMachine]:
-    """The machines of a forecast; `ready_us` says when those that are pending may be expected."""
+    """Return the machines of a forecast.  `ready_us`: when each pending machine is expected to be up."""
     found = []
     for room in rooms:
         releases = []
@@ -109,7 +111,7 @@
 
 
 class MachineFilter(NamedTuple):
-    """What decides which machines a job may use, beside the size of its tasks."""
+    """The restrictions of a job that decide, beside the size of its tasks, which machines it may use."""
 
     job_class: str
     types: tuple[str, ...]
@@ -117,7 +119,7 @@
     spot: bool
 
     def allows(self, future: FutureMachine) -> bool:
-        """Whether a machine is of an allowed type, zone and kind."""
+        """Return whether a machine has an allowed type and zone, and is on demand if it must be."""
         machine = future.room.machine
         return (
             (not self.types or machine.type in self.types)
@@ -127,23 +129,23 @@
 
 
 class HeapEntry(NamedTuple):
-    """A machine by its place in the forecast, and when it has room; entries sort by time."""
+    """A machine by its index in the forecast, and when it has free resources.  Entries sort by time."""
 
     at_us: int
     machine_index: int
 
 
 class Forecast:
-    """The queue served in order on machines that are present, pending and called for.
+    """Serves the queue in order on machines that are present, pending or called for.
 
-    Jobs of one class that may use the same machines share one heap of these by the earliest time that they have
-    room; an entry that another job has made too early is put back when it comes up.
+    Jobs of one class that may use the same machines share a heap of these machines, by the earliest time at which a
+    task fits.  Placements of other jobs can make an entry too early: it is corrected when it reaches the top.
     """
 
     def __init__(self, machines: list[FutureMachine]) -> None:
         self.machines = machines
         self.remaining_steps = MAX_STEPS
-        """How many more times tasks may be put on a machine."""
+        """How many more placements this forecast may make."""
         self._heaps: dict[MachineFilter, list[HeapEntry]] = {}
         self._gang_entries: list[HeapEntry] = []
 
@@ -166,7 +168,7 @@
                 yield HeapEntry(at_us, number)
 
     def earliest(self, ask: Ask) -> int:
-        """The time of day at which the next task of a job would have room, or `NEVER_US`."""
+        """Return the earliest time of day at which the next task of a job can start, or `NEVER_US`."""
         heap = self._heap(ask)
         while heap:
             entry = heap[0]
@@ -179,7 +181,7 @@
         return NEVER_US
 
     def take(self, ask: Ask, most: int, run_us: int) -> int:
-        """Put up to `most` tasks where `earliest` found room; returns how many."""
+        """Place up to `most` tasks on the machine that `earliest` has found; return how many fit."""
         self.remaining_steps -= 1
         heap = self._heap(ask)
         entry = heapq.heappop(heap)
@@ -195,10 +197,10 @@
         return count
 
     def finish_job(self, ask: Ask) -> None:
-        """A job's tasks have their places: what its gang took may be taken again after it.
+        """End the placement of a job: other jobs may use the machines of its gang after it.
 
-        Not before, for its tasks run at the same time.  The model test found a gang that waited for ever for a second
-        machine, because the forecast ran half of it after the other half.
+        The gang itself must not, for its tasks run at the same time.  Otherwise the forecast runs one half of the
+        gang after the other on one machine, and the gang waits for ever for a second machine.
         """
         heap = self._heap(ask)
         for entry in self._gang_entries:
@@ -206,7 +208,7 @@
         self._gang_entries.clear()
 
     def add(self, machine: FutureMachine, ask: Ask) -> None:
-        """Add a machine that is called for: this job may use it, and so may others that it suits."""
+        """Add a machine that is called for a job; other jobs with suitable restrictions may use it, too."""
         number = len(self.machines)
         self.machines.append(machine)
         self._heap(ask)
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -1,4 +1,4 @@
-"""Taking the fleet over from a predecessor, and telling successors what they cannot read from the records."""
+"""Takes the fleet over from a predecessor, and tells successors what the state service does not store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class Handover:
-    """The checks before the first decision of a term (safety point 24), and the predecessor's knowledge."""
+    """Makes the checks before the first decision of a term (safety point 24), and exchanges books (`Book`).
+
+    A book holds what a leader has learnt and the records do not say.
+    """
 
     def __init__(
         self,
@@ -38,11 +41,11 @@
         self.backoff = backoff
         self.takeover = Takeover(0)
         self._began_us = 0
-        """When this term began here."""
+        """When this controller began its term."""
         peers.write_book = self.write_book
 
     def begin(self, term: NewTerm) -> None:
-        """Begin a term: nothing is known but what the records, the predecessor and the cloud's list say."""
+        """Begin a term: only the records, the predecessor's book and the cloud's list are relied on."""
         now_us = self.kernel.now_us
         self._began_us = now_us
         self.takeover = Takeover(now_us)
@@ -51,10 +54,10 @@
         self.kernel.log("info", "runs the fleet")
         self._read_book(term)
 
-    # What successors are told
+    # Knowledge passed to successors
 
     def write_book(self) -> Book | None:
-        """What a successor cannot read from the records; None where this controller does not run the fleet."""
+        """Return what a successor cannot read from the records; None if this controller does not lead the fleet."""
         if not self.lease.running or not self.takeover.ready():
             return None
         now_us = self.kernel.now_us
@@ -72,7 +75,7 @@
         )
 
     def _read_book(self, term: NewTerm) -> None:
-        """Take over what the predecessor told, unless this controller has run the fleet since."""
+        """Adopt the predecessor's book, unless it is old or was not written between this controller's terms."""
         if self.peers.book is None or self.kernel.now_us - self.peers.book[1] > OLD_US:
             return
         book, at_us = self.peers.book
@@ -80,7 +83,8 @@
             return
         self.inventory.deleted.update((name, at_us - age_us) for name, age_us in book.gone.items())
         self.inventory.idle_since.update((name, at_us - age_us) for name, age_us in book.idle.items())
-        # Counted anew with each term, a silent machine would keep the tasks of a cancelled job beyond `cancel_s`.
+        # Otherwise each term would count the silence of a machine from its own beginning, and tasks of a cancelled
+        # job would stay on a silent machine for longer than `cancel_s`.
         self.inventory.predecessor_heard_us.update((name, at_us - age_us) for name, age_us in book.silent.items())
         for name, zone, spot, pause_us, times in book.blocked:
             self.backoff.refusals[MachineKind(name, zone, spot)] = Refusal(at_us + pause_us, times)
@@ -90,14 +94,15 @@
     # The checks
 
     def run_checks(self) -> Fiber[None]:
-        """Make the checks that are missing, as far as they pass now: see `standby/takeover.py`."""
+        """Make the missing checks in order, up to the first one that does not pass yet: see `standby/takeover.py`."""
         takeover = self.takeover
         if takeover.missing(Check.READ):
-            # Safety point 22: this reading began after the term, so it has all that the predecessor committed.
+            # Safety point 22: this read begins after the term, so it includes all that the predecessor committed.
             if not (yield from self.base.follower.barrier()):
                 return
             takeover.ok(Check.READ, self.kernel.now_us)
-            # The other checks may wait for the cloud for long: a silent machine would keep a cancelled job's tasks.
+            # Silence counts from here, for the other checks can wait for the cloud for long.  Otherwise tasks of a
+            # cancelled job would stay on a silent machine for that time.
             self.inventory.note_known_machines()
         if takeover.missing(Check.INTENTS):
             if not (yield from self._repeat_intents()):
@@ -115,16 +120,16 @@
         self.kernel.log("info", f"the fleet was taken over: {takeover.stages()} s")
 
     def _restart_checks(self) -> None:
-        """Set all checks back: the process stood still, or the key was lost."""
+        """Reset all checks: the process was paused, or the key was lost."""
         self.takeover.again(self.kernel.now_us)
         self.takeover.ok(Check.TERM, self.kernel.now_us)
         self.inventory.listed_us = 0
 
     def _list_complete(self) -> bool:
-        """Whether the list shows all that nobody wrote down.
+        """Return whether the cloud's list shows all machines that no intent records.
 
-        While a version that writes nothing down may have run the fleet, that takes until the list has caught up; the
-        first runner of all need not wait.
+        Older versions write no intents.  If one of them may have led the fleet, the list is complete only once its
+        lag has passed since the term began.  Where there are no machines at all there is nothing to wait for.
         """
         others = self.base.cluster_state.machines or self.inventory.listed
         written = self.provisioning.intents.all or self.lease.presence.upgraded(INTENTS)
@@ -132,13 +137,13 @@
         return bool(written or not others or caught_up)
 
     def _repeat_intents(self) -> Fiber[bool]:
-        """Learn what the predecessor has on its way, asking again under its names (safety point 22).
+        """Repeat the predecessor's unanswered requests under their names, and expect its machines (safety point 22).
 
-        False if the cloud gives no answer.
+        Returns False if the cloud does not answer.
         """
         intents = self.provisioning.intents
         if not intents.load(self.base.cluster_state.rentals):
-            self.kernel.log("error", "the record of rentals cannot be read: waiting for the list instead")
+            self.kernel.log("error", "the record of rentals cannot be read: waiting for the cloud's list instead")
             intents.all = False
             return True
         self.provisioning.settle(self.base.cluster_state.machines)
@@ -148,5 +153,5 @@
         for intent in intents.open.values():
             self.inventory.expect_machines(intent, intent.names or ())
         if repeated:
-            self.kernel.log("info", f"asked again for {repeated} rentals of the former runner")
+            self.kernel.log("info", f"repeated {repeated} unanswered rental requests of the predecessor")
         return True
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -1,4 +1,4 @@
-"""The machines of the fleet: rented, listed by the cloud, heard by controllers, being deleted."""
+"""Keeps track of the machines of the fleet: pending, listed by the cloud, silent, being deleted."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 from ashtray.standby.intents import Intent
 
 LIST_US = 2 * SECOND_US
-"""The pause between two readings of the cloud's list."""
+"""The pause between two reads of the cloud's list."""
 PAGE_SIZE = 500
+"""Machines on one page of the cloud's list."""
 RUNNING, FAILED = "running", "failed"
 """States of a machine in the cloud's list."""
 INFORMED_HEARTBEATS = 3
-"""After so many pauses between their words all peers have told a new runner whom they hear."""
+"""After so many heartbeat intervals all peers have told a new fleet leader which workers report to them."""
 QUIET_REPORT_INTERVALS = 2.5
-"""A machine is quiet after so many times the interval of reports: two are missing, each up to a quarter late."""
+"""A machine is quiet after so many report intervals: two reports are missing, each up to a quarter late."""
 DELETED_LAGS = 10
-"""For how many times the list's lag a deleted machine is remembered."""
+"""How long a deleted machine is remembered, in multiples of `list_lag_us()`."""
 
 
 @dataclass
@@ -35,13 +36,13 @@
     kind: MachineKind
     requested_us: int
     running: bool = False
-    """The cloud's list shows it as running."""
+    """Whether the cloud's list shows the machine as running."""
     running_us: int = 0
-    """When the list first showed that."""
+    """When the list first showed the machine as running."""
 
 
 class MachineInventory:
-    """What is known of each machine beside the groups' records.  Names sort in the order of creation."""
+    """Keeps what is known of each machine beside the group records.  Machine names sort in the order of creation."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, cloud: CloudClient) -> None:
         self.base = base
@@ -53,23 +54,24 @@
         self.listed: dict[str, str] = {}
         """The state of each machine in the cloud's last list."""
         self.listed_us = 0
-        """When the reading of that list began; 0: none was read in this term."""
+        """When the read of that list began; 0 if none was read in this term."""
         self.deleted: dict[str, int] = {}
-        """Machines that were deleted, and when: a late list may still show them."""
+        """When each deleted machine was deleted.  A list that lags may still show it."""
         self.draining: set[str] = set()
-        """Machines on which nothing is placed any more and which are to be deleted."""
+        """Machines that are to be deleted.  Nothing is placed on them any more."""
         self.idle_since: dict[str, int] = {}
+        """Since when each idle machine has been idle."""
         self.known_since: dict[str, int] = {}
         """When each machine with a record was first seen in this term."""
         self.predecessor_heard_us: dict[str, int] = {}
-        """When machines that had missed reports were last heard, by what the predecessor told."""
+        """When machines that had missed reports were last heard, according to the predecessor."""
         self._term_us = 0
-        """When this term began."""
+        """When this controller's term began."""
         self._newest = ""
-        """The last name that was ever listed."""
+        """The greatest name, so the newest machine, that any list has shown."""
 
     def begin_term(self) -> None:
-        """Forget what may have changed while another controller ran the fleet."""
+        """Drop what may have changed while another controller led the fleet."""
         self.pending.clear()
         self.listed_us = 0
         self.idle_since.clear()
@@ -78,20 +80,20 @@
         self._term_us = self.kernel.now_us
 
     def note_known_machines(self) -> None:
-        """Count the silence of all machines with a record from now on, unless it is counted already."""
+        """Count the silence of machines with a record from now, except those whose silence is counted already."""
         for name in self.base.cluster_state.machines:
             self.known_since.setdefault(name, self.kernel.now_us)
 
     def list_lag_us(self) -> int:
-        """How far the cloud's list may be behind, with a reserve."""
+        """Return how far the cloud's list may lag (us): twice the setting and 5 s as a margin."""
         return int((2 * self.base.settings.cluster.cloud.list_lag_s + 5) * SECOND_US)
 
     def list_due(self) -> bool:
-        """Whether the cloud's list is to be read again."""
+        """Return whether it is time to read the cloud's list again."""
         return self.kernel.now_us - self.listed_us >= LIST_US
 
     def read_list(self) -> Fiber[None]:
-        """Read all pages of the cloud's list; without an answer for one of them, the last list stays."""
+        """Read all pages of the cloud's list.  If one page cannot be read, the previous list stays."""
         began_us = self.kernel.now_us
         after = ""
         states: dict[str, str] = {}
@@ -114,7 +116,7 @@
         self._newest = max(self._newest, max(states, default=""))
 
     def _note_listed(self, machine: ListedMachine, began_us: int) -> None:
-        """Take a listed machine without a record into the pending ones, and note since when it runs."""
+        """Add a listed machine without a record to the pending ones, and note when it was first seen running."""
         name = machine.name
         if name in self.deleted:
             return
@@ -126,46 +128,46 @@
             pending.running, pending.running_us = True, began_us
 
     def unlisted(self, name: str) -> bool:
-        """Whether the list should show a machine and does not.
+        """Return whether the list should show a machine but does not.
 
-        A list that lags may lack all the newest machines, for longer than the settings say: only a machine older
-        than one that was listed counts.
+        The list can lag for longer than the settings say and lack all of the newest machines.  So this is True only
+        for machines that are older than a machine that was listed.
         """
         return name not in self.listed and name < self._newest
 
     def expect_machines(self, intent: Intent, names: Iterable[str]) -> None:
-        """Take machines that were rented for an intent into the pending ones, unless more is known of them."""
+        """Add machines that were rented for an intent to the pending ones, except those with a record or deleted."""
         age_us = max(self.kernel.wall_us - intent.at_us, 0)
         for name in names:
             if name not in self.deleted and name not in self.base.cluster_state.machines:
                 self.pending.setdefault(name, PendingMachine(intent.kind, self.kernel.now_us - age_us))
 
     def note_deleted(self, names: Iterable[str]) -> None:
-        """The cloud has confirmed the deletion of machines."""
+        """Record that the cloud has confirmed the deletion of machines."""
         for name in names:
             self.deleted[name] = self.kernel.now_us
             self.pending.pop(name, None)
             self.idle_since.pop(name, None)
 
     def forget_deleted(self) -> None:
-        """Drop deleted machines that no list can show any more."""
+        """Drop the deleted machines that no list can show any more."""
         horizon_us = self.kernel.now_us - DELETED_LAGS * self.list_lag_us()
         self.deleted = {name: at_us for name, at_us in self.deleted.items() if at_us > horizon_us}
 
     def silences(self) -> dict[str, int]:
-        """For how long (us) no controller has heard each worker, as far as this one can tell (safety points 12, 28).
+        """Return for how long (us) no controller has had a report of each machine (safety points 12 and 28).
 
-        Silence counts only over time in which this process ran itself and had messages from its peers.  Workers that
-        report to a live controller that sends none are not silent: it cannot say that it hears them.
+        Time counts as silence only if this process was running and had heartbeats from its peers.  Machines that
+        report to a live controller whose heartbeats are missing count as heard: it cannot say that it hears them.
         """
-        # Only the runner is told who hears which worker: peers need some time to say so to a new one.
+        # Peers tell only the fleet leader which workers they hear, and need some time to tell a new one.
         unheard = self.peers.mute()
         until_us = min(self.kernel.now_us, self.peers.all_word_us(unheard))
         informed = until_us - self._term_us > INFORMED_HEARTBEATS * self.peers.word_us
         return self._silences(unheard, until_us, informed)
 
     def _silences(self, unheard: set[str], until_us: int, informed: bool) -> dict[str, int]:
-        """The silences (us) up to a moment; only where `informed` does what the predecessor told count."""
+        """Return the silences (us) up to `until_us`; with `informed`, what the predecessor told counts, too."""
         now = self.kernel.now_us
         presence = self.presence
         heard = self.peers.last_heard()
@@ -180,15 +182,15 @@
         return found
 
     def heard_within(self, limit_us: int) -> set[str]:
-        """The machines, with a record or not, that some controller has heard since so long ago (us)."""
+        """Return the machines, with or without a record, that some controller has heard within `limit_us`."""
         since_us = self.kernel.now_us - limit_us
         return {name for name, at_us in self.peers.last_heard().items() if at_us >= since_us}
 
     def quiet(self) -> dict[str, int]:
-        """The silences (us) of machines that have missed reports, for the successor of this runner.
+        """Return the silences (us) of machines that have missed reports, to be told to this leader's successor.
 
-        What the predecessor told is passed on at once, also where peers have not had the time yet to tell this runner
-        whom they hear: a successor waits for their word before it relies on it (safety point 12).
+        What the predecessor told is passed on at once, even if the peers have not yet told this leader which workers
+        they hear: a successor waits for their heartbeats before it relies on it (safety point 12).
         """
         quiet_us = QUIET_REPORT_INTERVALS * self.base.settings.cluster.workers.report_s * SECOND_US
         unheard = self.peers.mute()
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -1,4 +1,4 @@
-"""Which machines are to be returned: those that never came up, fell silent, failed or are idle."""
+"""Decides which machines to return: those that never came up, fell silent, failed or are idle."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from ashtray.placement.machine_health import SICK_BLAME
 
 SILENT_US = 4 * SECOND_US
-"""A worker is silent after its lease and this reserve."""
+"""A worker is silent once it has not been heard for its lease and this margin."""
 MISSING_US = 6 * SECOND_US
-"""A machine that the list lacks is missing only once its worker has not been heard for so long."""
+"""A machine that the list lacks counts as missing only once its worker has not been heard for this time."""
 FEW_MACHINES = 2
-"""So many silent machines are believed without a doubt about this controller's own view."""
+"""Up to this many silent machines are never taken for a fault of this controller."""
 UNSURE_LEASES = 3
-"""For how many leases machines must be silent when most of the fleet is."""
+"""For how many leases a machine must be silent to be given up while most of the fleet is silent."""
 URGENT_IDLE_FACTOR = 6
-"""The cheapest kind for an urgent class is kept idle so many times as long."""
+"""Idle machines of the cheapest kind for an urgent class are kept this many times as long."""
 UNKNOWN_BOOT_US = 30 * SECOND_US
+"""The boot time assumed for a machine type that is not in the catalogue."""
 
 
 class Loss(Enum):
-    """Why a machine that had come up is given up, in the words of the log."""
+    """Why a machine that had come up is given up.  The log shows the values."""
 
     FAILED = "failed"
     MISSING = "missing"
@@ -36,7 +37,7 @@
 
 
 class MachineReview:
-    """Judges every machine once a round."""
+    """Checks every machine once a round."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         self._lease_us = int(base.settings.cluster.workers.lease_s * SECOND_US)
 
     def lost_pending(self) -> list[str]:
-        """The pending machines that are given up; those that have reported are pending no longer."""
+        """Return the pending machines to give up.  Machines that have a record by now stop being pending."""
         now_us = self.kernel.now_us
         pending_machines = self.inventory.pending
         heard = self.inventory.heard_within(self._lease_us) if pending_machines else set()
@@ -72,17 +73,18 @@
                 unblocked.add(pending.kind)
             if not self._given_up(name, pending, late, name in heard):
                 continue
-            self.kernel.log("info", f"{name} never reported: given up")
+            self.kernel.log("info", f"{name} never reported: it is given up")
             lost.append(name)
             if pending.kind in unblocked:
-                # The capacity that it took can be asked for again.
+                # The cloud has capacity for this kind again once the machine is deleted.
                 self.backoff.clear(pending.kind)
         return lost
 
     def _given_up(self, name: str, pending: PendingMachine, late: bool, heard: bool) -> bool:
-        """Whether a pending machine is too late, runs without reporting, or is gone in the cloud.
+        """Return whether a pending machine is too late, runs without reporting, vanished or failed in the cloud.
 
-        One that some controller hears is up, however late the transaction that gives it a record.
+        A machine that some controller hears is up, even if the transaction that gives it a record is late: it is
+        given up only if the cloud's list shows that it failed.
         """
         if heard:
             return self.inventory.listed.get(name) == FAILED
@@ -94,11 +96,11 @@
         return too_late or unheard or vanished or self.inventory.listed.get(name) == FAILED
 
     def _blocks_replacement(self, pending: PendingMachine) -> bool:
-        """Whether a machine that is overdue takes up the capacity for the one that would replace it.
+        """Return whether an overdue machine takes the capacity that its replacement needs.
 
-        Found in a recorded day: the only machine of its type never came up, and the urgent gang that needed it waited
-        for four minutes until it was given up.  Only where none of its kind is up: what is late by a little comes
-        sooner than its replacement, and with others up nobody waits for it alone.
+        Otherwise an urgent gang waits for minutes for the only machine of a type if that machine never comes up.
+        This holds only while no machine of the kind is up: a machine that is a little late comes up sooner than its
+        replacement, and if others are up, no job depends on this one alone.
         """
         kind = pending.kind
         overdue = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us) is None
@@ -108,13 +110,13 @@
         return kind not in (MachineKind(m.type, m.zone, m.record.spot) for m in machines)
 
     def lost_or_idle(self) -> list[str]:
-        """The machines with a record that are to be returned."""
+        """Return the machines with a record that are to be returned."""
         silence_us = self.inventory.silences()
         silent = self._silent(silence_us)
         lost: list[str] = []
         for name, machine in self.base.cluster_state.machines.items():
             if self._fails_tasks(machine) and not machine.record.retiring:
-                self.kernel.log("info", f"{name} fails its tasks")
+                self.kernel.log("info", f"{name} is returned: tasks of several jobs failed on it")
                 lost.append(name)
                 continue
             loss = self._loss(name, silence_us[name], name in silent)
@@ -127,19 +129,19 @@
         return lost
 
     def _silent(self, silence_us: dict[str, int]) -> set[str]:
-        """The machines whose workers are silent, beyond what a fault of this controller would explain."""
+        """Return the machines whose workers are silent, unless that is more likely a fault of this controller."""
         silent = {name for name, us in silence_us.items() if us > self._lease_us + SILENT_US}
-        # When most of the fleet falls silent at once, the fault is likelier on this side.
+        # If most of the fleet falls silent at once, a fault of this controller is the more likely cause.
         if len(silent) > max(FEW_MACHINES, len(self.base.cluster_state.machines) // 2):
             unsure_us = UNSURE_LEASES * self._lease_us
             return {name for name in silent if silence_us[name] > unsure_us or self._holds_cancelled_tasks(name)}
         return silent
 
     def _holds_cancelled_tasks(self, name: str) -> bool:
-        """Whether a machine's record lists tasks of jobs that are over.
+        """Return whether a machine has allocations of jobs that are over.
 
-        On a machine that hangs only its deletion surely ends them, and `cancel_s` may be less than the leases that
-        others are waited for (safety points 1 and 5).
+        Only deleting the machine is sure to end their tasks if it hangs, and `cancel_s` may be shorter than the
+        `UNSURE_LEASES` leases for which other machines are waited (safety points 1 and 5).
         """
         cluster_state = self.base.cluster_state
         return any(cluster_state.is_over(allocation.job) for allocation in cluster_state.machines[name].holds)
@@ -148,7 +150,7 @@
         return bool(machine.record.failed) and self.base.cluster_state.blame(machine) >= SICK_BLAME
 
     def _loss(self, name: str, silence_us: int, silent: bool) -> Loss | None:
-        """Why a machine is given up, or None."""
+        """Return why a machine is given up, or None if it is kept."""
         if self.inventory.listed.get(name) == FAILED:
             return Loss.FAILED
         known_us = self.kernel.now_us - self.inventory.known_since[name]
@@ -158,7 +160,7 @@
         return Loss.SILENT if silent else None
 
     def _idle_too_long(self, machine: Machine) -> bool:
-        """Whether a machine is idle and is not to be kept any longer; notes since when it is idle."""
+        """Return whether a machine is idle, and for too long or being returned; note when it became idle."""
         retiring = machine.record.retiring
         idle = not machine.holds and (machine.name not in self.forecaster.needed or retiring)
         if not idle:
@@ -168,10 +170,10 @@
         return retiring or self.kernel.now_us - since_us > self._idle_limit_us(machine)
 
     def _idle_limit_us(self, machine: Machine) -> int:
-        """How long an idle machine is kept: about as long as having it back would cost.
+        """Return how long (us) an idle machine is kept: about what booting another one would take.
 
-        One that is the cheapest for a class with an aim on waiting is kept longer, for no machine that is rented
-        when such a job comes is up in time.
+        The cheapest kind for a class with an objective for waiting times is kept longer, because a machine that is
+        rented when such a job arrives does not come up in time.
         """
         machine_type = self.base.cluster_state.types.get(machine.type)
         boot_us = machine_type.boot_us if machine_type is not None else UNKNOWN_BOOT_US
--- a/ashtray/fleet/provisioning.py
+++ b/ashtray/fleet/provisioning.py
@@ -1,7 +1,7 @@
-"""Renting: the demand is written down as intents, and then requested from the cloud.
+"""Rents machines: the demand is committed as intents, and then requested from the cloud.
 
-What is to be rented is committed under the term before the cloud hears of it (safety point 22), so the successor of
-a runner that failed asks for the same machines under the same names: see `standby/intents.py`.
+Each intent is committed under the term before the cloud gets the request (safety point 22).  So the successor of a
+fleet leader that failed repeats the same requests under the same names: see `standby/intents.py`.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from ashtray.store.client import VALUE_SHARE, Txn, Urgency
 
 FORECAST_PAUSE_PER_MACHINE_US = 3_500
-"""The pause between two forecasts, for each machine that they go through."""
+"""The pause between two forecasts, for each machine of the fleet."""
 MAX_PER_REQUEST = 50
-"""Machines asked for in one request."""
+"""The most machines in one request."""
 MAX_RECORD_SHARE = 0.5
-"""Of the bytes of a value, what the record of intents may take."""
+"""The share of a value's usable bytes that the record of intents may take."""
 MAX_CLOCK_SKEW_US = 2 * SECOND_US
-"""How far two controllers' times of day may differ, with a reserve."""
+"""How far the clocks of two controllers may differ, with a margin."""
 
 
 class Provisioning:
-    """Rents the machines that the demand calls for, each request under a name of its own."""
+    """Rents the machines that the demand calls for.  Each request to the cloud has a unique name."""
 
     def __init__(
         self,
@@ -59,16 +59,16 @@
         self._forecast_us = 0
         """When the last forecast was made."""
         self._had_demand = True
-        """The last forecast called for machines: the next one is made sooner."""
+        """Whether the last forecast called for machines: then the next one is made sooner."""
 
     def run(self, takeover: Takeover) -> Fiber[None]:
-        """Compute the demand, if it is time for that, and rent what it calls for."""
+        """Compute the demand, if a forecast is due, and rent the machines that it calls for."""
         if takeover.decided and not self._forecast_due():
             return
         self._forecast_us = self.kernel.now_us
         self.settle(())
         if not (yield from self.request_unanswered()):
-            # What has no answer may be on its way: the same need would be met twice (safety point 22).
+            # A request without an answer may have been executed: its demand would be met twice (safety point 22).
             return
         demand = self.forecaster.compute()
         self._had_demand = bool(demand)
@@ -79,7 +79,7 @@
             yield from self._rent(demand)
 
     def _forecast_due(self) -> bool:
-        """Whether to make the next forecast: each goes through the whole fleet and queue, so not in each round."""
+        """Return whether a forecast is due: each goes through the whole fleet and queue, too much for every round."""
         pause_us = (
             FORECAST_PAUSE_PER_MACHINE_US * len(self.base.cluster_state.machines) * (1 if self._had_demand else 2)
         )
@@ -88,17 +88,17 @@
     def _rent(self, demand: dict[MachineKind, int]) -> Fiber[None]:
         batch: list[Intent] = []
         build = partial(self._intents_transaction, demand, batch)
-        # Safety point 22: the cloud hears of a request only once its name is committed.
+        # Safety point 22: a request is sent to the cloud only once its name is committed.
         if not (yield from self.base.follower.commit(build, 1, Urgency.ACCEPT, "intent")):
-            # It may be written all the same: what nobody has asked for is dropped with the next change.
+            # The intents may have been written all the same.  None is requested, and the next write drops them.
             return
         self.intents.begin(batch)
         yield from self.request_unanswered()
 
     def _intents_transaction(self, demand: dict[MachineKind, int], batch: list[Intent]) -> Txn | None:
-        """Build the transaction that writes down, under the term, what is on its way and about to be.
+        """Build the transaction that writes the open and the new intents under the term, without the settled ones.
 
-        `batch` is filled with the new intents; settled ones are left out.  None if the fleet's key was lost.
+        The new intents are put into `batch`.  Returns None if the fleet's key was lost.
         """
         if not self.lease.holds():
             return None
@@ -112,30 +112,30 @@
         return self.lease.under_term(txn)
 
     def _intent(self, kind: MachineKind, number: int) -> Intent:
-        """An intent under a request name that was never used before."""
+        """Return an intent with a new, unique request name."""
         self._sequence += 1
         request = f"{self.base.settings.host_name}-{self.lease.presence.incarnation}-{self._sequence}"
         number = min(number, MAX_PER_REQUEST)
         return Intent(request, kind.type, kind.zone, kind.spot, number, self.kernel.wall_us)
 
     def settle(self, seen: Container[str]) -> None:
-        """Drop intents whose machines were seen, or that are so old that the list must show them."""
+        """Drop intents whose machines are all in `seen`, or that are so old that the list must show them."""
         self.intents.settle(seen, self.kernel.wall_us - self.inventory.list_lag_us() - MAX_CLOCK_SKEW_US)
 
     def request_unanswered(self) -> Fiber[bool]:
-        """Ask the cloud for what has no answer yet; False where it gives none."""
+        """Send the requests of all intents without an answer; return False if the cloud does not answer one."""
         for intent in self.intents.unanswered():
-            # A request without an answer may have been executed: whoever asks again gets the same machines.
+            # Repeating a request that the cloud has executed returns the same machines.
             if not (yield from self._request(intent)) and not (yield from self._request(intent)):
                 return False
         return True
 
     def _request(self, intent: Intent) -> Fiber[bool]:
-        """Ask the cloud for what was written down; False if it gave no answer, or this controller may not ask."""
+        """Send the request of an intent; return False without an answer, or if the fleet's key was lost."""
         if not self.lease.holds():
             return False
         body = rental(intent.request, intent.kind, intent.number)
-        # Safety point 22: the term is looked at once more, immediately before the request is sent.
+        # Safety point 22: the lease is checked once more, immediately before the request is sent.
         reply = yield from self.cloud.request("POST", "/rentals", body, self.lease.holds)
         if reply.status not in (200, 400, 503) or error_of(reply) == TROUBLE:
             return False
@@ -149,7 +149,7 @@
         return True
 
     def _note_capacity(self, intent: Intent, reply: Reply, names: list[str]) -> None:
-        """Log what the cloud rented, and stop asking for a while for what it could not rent."""
+        """Log what the cloud rented, and back off from a kind for which it had too little capacity."""
         kind = intent.kind
         if reply.status == 200:
             self.kernel.log("info", f"rented {len(names)} of {intent.number} {kind.describe()}")
--- a/ashtray/fleet/runner.py
+++ b/ashtray/fleet/runner.py
@@ -1,7 +1,7 @@
-"""The fleet's runner: one controller at a time rents and returns machines.
+"""Runs the fleet: one controller at a time, the fleet leader, rents and returns machines.
 
-This module ties the parts together: the fleet's key (`fleet_lease.py`), the checks of a new runner (`handover.py`),
-what is known of the machines (`machine_inventory.py`), renting (`demand.py`, `provisioning.py`) and returning
+This module connects the components: the fleet lease (`fleet_lease.py`), the checks of a new leader (`handover.py`),
+the knowledge about machines (`machine_inventory.py`), renting (`demand.py`, `provisioning.py`) and returning
 (`machine_review.py`, `decommissioning.py`).
 """
 
@@ -29,13 +29,13 @@
 
 
 class FleetRunner:
-    """What each controller does about the fleet, as its runner or as one that may succeed it."""
+    """Runs in each controller: leads the fleet, or takes the fleet lease when it is this controller's turn."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, pace: Pace, planner: Planner) -> None:
         self.base = base
         self.presence = presence
         self.kick = Signal()
-        """Fired where a round should begin at once."""
+        """A wake-up signal: begins a round at once."""
         boot_times = BootTimes(base.cluster_state, base.knobs.boot_patience)
         backoff = CapacityBackoff(base.kernel)
         self.cloud = CloudClient(base)
@@ -50,11 +50,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether this controller runs the fleet."""
+        """Return whether this controller is the fleet leader."""
         return self.lease.running
 
     def round(self) -> Fiber[None]:
-        """Wait for the next round; as the runner, then rent and return machines."""
+        """Wait for the next round, then update the fleet lease and, as the leader, rent and return machines."""
         yield Wait(self.kick, ROUND_US)
         if not self.base.follower.loaded or not self.presence.incarnation:
             return
@@ -78,7 +78,8 @@
         if not self.inventory.listed_us:
             return
         if not self.handover.takeover.decided:
-            # The demand has waited since the predecessor failed; draining and deleting can wait in line for seconds.
+            # Renting comes first, as demand has waited since the predecessor failed: draining and deleting can take
+            # seconds when the write or request budget is short.
             yield from self.provisioning.run(self.handover.takeover)
         yield from self.decommissioning.drain_lost()
         yield from self.decommissioning.delete_drained()
--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -1,4 +1,4 @@
-"""Keeps the machine types in the state service equal to the cloud's."""
+"""Copies the cloud's machine types to the state service."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 from ashtray.store.client import Txn, Urgency
 
 Types = dict[str, MachineType]
-"""Machine types by their names."""
+"""Machine types by name."""
 RecordWrite = tuple[str, Types | None]
-"""A key and its new record; None: the key is removed."""
+"""A key and its new record, or None if the key is to be removed."""
 REFRESH_US = 60 * SECOND_US
+"""The pause between two requests for the cloud's types."""
 WRITE_RETRY_US = 5 * SECOND_US
-"""The cloud is asked again so soon where the answer could not be written down."""
+"""The pause before the next request if the types could not be written."""
 
 
 class TypeCatalogue:
-    """The machine types that the cloud rents, written down for controllers that start while it does not answer."""
+    """Stores the cloud's machine types, so that controllers can start while the cloud does not answer."""
 
     def __init__(self, base: Base, cloud: CloudClient) -> None:
         self.base = base
@@ -34,12 +35,12 @@
         self.cloud = cloud
         self._read_us = -REFRESH_US
         self._unwritten: Types | None = None
-        """What could not be written down when it was read last."""
+        """The types that were read last, if they could not be written."""
 
     def refresh(self, running: bool) -> Fiber[None]:
-        """Ask the cloud for its types once a minute if this controller runs the fleet or knows none at all."""
+        """Request the cloud's types once a minute if this controller leads the fleet or knows no types at all."""
         if self._unwritten is not None and self._is_written(self._unwritten):
-            # By another controller: where all start together, all ask the cloud, and one writes.
+            # Another controller has written them: when all start together, each of them requests the types.
             self._unwritten = None
         pause_us = REFRESH_US if self._unwritten is None else WRITE_RETRY_US
         due = self.kernel.now_us - self._read_us >= pause_us
@@ -59,15 +60,15 @@
         self._unwritten = None if written else types
 
     def _is_written(self, types: Types) -> bool:
-        """Whether the cluster state shows that these types, and no others, are written down."""
+        """Return whether the cluster state has exactly these types, completely written."""
         return types == self.base.cluster_state.types and self.base.cluster_state.types_complete
 
     def _write(self, types: Types) -> Fiber[bool]:
-        """Write the records that differ, `TYPES` last; False: some are not written, or may not be."""
+        """Write the records that differ, `TYPES` last.  Returns False if some may not have been written."""
         records = self._records(types)
         known = self.base.cluster_state.type_records()
-        # An empty record of all types says that each has one of its own, and that all of these are written: until
-        # then nobody may be refused because no type fits.
+        # An empty `TYPES` record says that each type has a record of its own and that all of them are written.  Until
+        # then no job may be refused because no type fits.
         own = sorted(key for key in records if key != TYPES and records[key] != known.get(key))
         if not (yield from self._commit({key: records[key] for key in own}, ())):
             return False
@@ -76,14 +77,14 @@
         return (yield from self._commit(changed, removed_keys))
 
     def _records(self, types: Types) -> dict[str, Types]:
-        """The records that say which types there are: one, or where that would be too large one for each as well."""
+        """Return the records to store: one with all types, or if that is too large an empty one and one for each."""
         size = compact_record.size_of(msgspec.to_builtins(types))
         if self.base.limits.takes(size):
             return {TYPES: types}
         return {TYPES: {}, **{f"{TYPES}/{name}": {name: machine_type} for name, machine_type in types.items()}}
 
     def _commit(self, puts: dict[str, Types], removes: Iterable[str]) -> Fiber[bool]:
-        """Write and remove records, as many in a transaction as it takes; False: one of them failed."""
+        """Write and remove records, with as many in a transaction as fit.  Returns False if a transaction failed."""
         remaining: list[RecordWrite] = [*puts.items(), *((key, None) for key in removes)]
         while remaining:
             txn = self._transaction(remaining)
@@ -94,7 +95,7 @@
         return True
 
     def _transaction(self, changes: list[RecordWrite]) -> Txn:
-        """The first of some changes, as many as fit into one transaction and at least one."""
+        """Build a transaction of the first changes, as many as fit and at least one."""
         txn, free_bytes = Txn(), self.base.limits.txn_bytes
         for key, record in changes[: self.base.limits.ops]:
             value = None if record is None else msgspec.to_builtins(record)
