--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -73,7 +73,7 @@
                 unblocked.add(pending.kind)
             if not self._given_up(name, pending, late, name in heard):
                 continue
-            self.kernel.log("info", f"{name} never reported: it is given up")
+            self.kernel.log("info", f"{name} never reported: given up")
             lost.append(name)
             if pending.kind in unblocked:
                 # The cloud has capacity for this kind again once the machine is deleted.
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -1,4 +1,4 @@
-"""What users met after some time in service: halts, silence, storms of questions, mistaken jobs, late boots."""
+"""Failures met in operation: paused processes, silent workers, floods of requests, faulty jobs, late boots."""
 
 import random
 
@@ -21,7 +21,7 @@
 SECOND = 1_000_000
 
 
-def settled(seed: int = 5) -> Model:
+def service_model(seed: int = 5) -> Model:
     model = Model(seed)
     model.checks()
     model.run(3)
@@ -31,16 +31,17 @@
     return model
 
 
-def runner_of(model: Model):
+def leader_of(model: Model):
     return next(host for host in model.hosts if host.core.runner.running)
 
 
 @pytest.mark.parametrize("seconds", [9, 20, 40])
-def test_one_that_ran_the_fleet_and_stood_still_condemns_no_machine(seconds):
-    # Found in incidents: nine healthy machines were deleted at once when it went on.
-    model = settled()
+def test_a_paused_fleet_leader_deletes_no_healthy_machine(seconds):
+    # Otherwise a leader that resumes after a pause takes healthy machines for silent and deletes them, as it once
+    # did with nine at a time.
+    model = service_model()
     before = set(model.workers)
-    host = runner_of(model)
+    host = leader_of(model)
     host.halts_us = seconds * SECOND
     model.run(seconds + 15)
     assert set(model.workers) == before
@@ -49,18 +50,18 @@
 
 
 def test_workers_of_a_live_peer_that_gives_no_word_are_not_silent():
-    model = settled()
+    model = service_model()
     before = set(model.workers)
-    runner = runner_of(model).number
+    leader = leader_of(model).number
     for other in range(3):
-        if other != runner:
-            model.cut(f"c{runner}", f"c{other}", 90, False)
+        if other != leader:
+            model.cut(f"c{leader}", f"c{other}", 90, False)
     model.run(75)
     assert set(model.workers) == before
 
 
-def test_a_machine_that_really_falls_silent_is_still_found():
-    model = settled()
+def test_a_machine_that_falls_silent_is_deleted():
+    model = service_model()
     name = next(iter(next(iter(model.on.values()))))
     model.hung.add(name)
     model.run(LEASE_S + 15)
@@ -68,8 +69,8 @@
 
 
 def test_running_the_fleet_ends_with_the_lease():
-    model = settled()
-    host = runner_of(model)
+    model = service_model()
+    host = leader_of(model)
     host.refused_until = model.now + 30 * SECOND
     model.run(12)
     assert not host.core.runner.running
@@ -77,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "word",
+    "heartbeat",
     [
         {"state_age_us": -1},
         {"state_age_us": "x"},
@@ -90,10 +91,10 @@
         {"state_age_us": None},
     ],
 )
-def test_absurd_word_of_a_peer_is_refused_without_effect(word):
+def test_an_invalid_heartbeat_is_refused_without_effect(heartbeat):
     core = Model(1).hosts[0].core
     before = repr(core.peers.peers)
-    core.peers.on_word(7, {"host": "berth-1", **word})
+    core.peers.on_word(7, {"host": "berth-1", **heartbeat})
     answers = [out for out in core.kernel.out if isinstance(out, Answer)]
     assert [answer.status for answer in answers] == [400]
     assert repr(core.peers.peers) == before
@@ -101,25 +102,25 @@
 
 @pytest.mark.parametrize("rate", [20, 200])
 def test_requests_to_the_state_service_do_not_grow_with_the_questions(rate):
-    model = settled()
+    model = service_model()
     model.submit(submission("job-1", pieces=1))
     model.run(30)
     assert model.jobs["job-1"].told == "done"
-    # One that knows nothing of what ended before it started has to look once.
+    # A restarted controller does not know which jobs ended before: it has to read each of them once.
     model.crash(0, 1)
     model.run(10)
     model.state_requests = 0
     model.run(10)
-    quiet = model.state_requests
+    baseline = model.state_requests
     model.state_requests = 0
     model.storm(10, rate, ("job-0", "job-1", "job-999999", "job-999998"))
     model.run(10)
-    # Each controller reads each id that is not live at most once.
-    assert model.state_requests <= quiet * 1.1 + 3 * 3
+    # Each controller reads each job that is not live at most once.
+    assert model.state_requests <= baseline * 1.1 + 3 * 3
 
 
-def test_a_poll_that_is_handed_on_does_not_hang_on_one_silent_peer():
-    model = settled()
+def test_a_forwarded_status_request_does_not_hang_on_one_silent_peer():
+    model = service_model()
     core = model.hosts[0].core
     model.hosts[0].refused_until = model.now + 30 * SECOND
     model.run(1)
@@ -134,13 +135,13 @@
     assert answers and answers[0][1] == 200 and answers[0][0] - asked < 2 * SECOND
 
 
-def job(tasks: int = 4, kind: str = "array", **over) -> dict:
+def job(tasks: int = 4, kind: str = "array", **fields) -> dict:
     spec = JobSpec("any", "crew", kind, 2, tasks, 1.0, 0.0, 1.0, "img", 1.0)
-    return msgspec.to_builtins(JobRecord(spec, "berth-0", 1, **over))
+    return msgspec.to_builtins(JobRecord(spec, "berth-0", 1, **fields))
 
 
-def blamed(**jobs) -> int:
-    """The blame of a machine on which all these jobs failed."""
+def blame_on_one_machine(**jobs) -> int:
+    """Return the blame of a machine on which all these jobs failed."""
     cluster_state = ClusterState()
     for name, value in jobs.items():
         key = name.replace("_", "-")
@@ -154,14 +155,18 @@
 def test_jobs_with_a_mistake_condemn_no_machine_and_sick_machines_are_found_all_the_same():
     broken = job(errors=3, failed_on=["vm-1", "vm-2"])
     cancelled = {"status": "cancelled", "done": 0}
-    assert blamed(job_1=broken, job_2=broken, job_3=broken, job_4=cancelled, job_5=cancelled) == 0
-    # Failed here only so far: not enough by itself.
+    assert blame_on_one_machine(job_1=broken, job_2=broken, job_3=broken, job_4=cancelled, job_5=cancelled) == 0
+    # The jobs have failed on no other machine yet: two of them are not enough.
     fresh = job(errors=1, failed_on=["vm-1"])
-    assert blamed(job_1=fresh, job_2=fresh) < SICK_BLAME <= blamed(job_1=fresh, job_2=fresh, job_3=fresh)
-    # Jobs that work elsewhere say more.
+    assert (
+        blame_on_one_machine(job_1=fresh, job_2=fresh)
+        < SICK_BLAME
+        <= blame_on_one_machine(job_1=fresh, job_2=fresh, job_3=fresh)
+    )
+    # A job that works on other machines adds more blame.
     works = job(errors=1, failed_on=["vm-1"], finished="0")
     done = {"status": "done", "done": 4}
-    assert blamed(job_1=works, job_2=broken, job_3=done) >= SICK_BLAME
+    assert blame_on_one_machine(job_1=works, job_2=broken, job_3=done) >= SICK_BLAME
 
 
 def test_a_job_that_fails_everywhere_backs_off_tries_one_task_and_goes_last():
@@ -176,8 +181,8 @@
     assert [j.id for j in queue(cluster_state, {})[0]] == ["job-2", "job-1"]
 
 
-def test_no_machine_is_returned_for_mistaken_jobs_and_their_end_is_told():
-    model = settled(8)
+def test_no_machine_is_returned_for_faulty_jobs_and_they_can_be_cancelled():
+    model = service_model(8)
     before = set(model.workers)
     for n in range(1, 5):
         model.mistaken.add(f"job-{n}")
@@ -197,12 +202,12 @@
     boot_times = BootTimes(cluster_state, 2.5)
     late = 70 * SECOND
     assert boot_times.remaining_us(kind, 0, late) is None and not boot_times.should_give_up(kind, 0, late)
-    # Not for ever, though.
+    # After a longer time it is given up all the same.
     assert boot_times.should_give_up(kind, 0, 4 * late)
-    # One asked for later has come up at the usual speed.
+    # A machine that was requested later has come up at the usual speed.
     boot_times.record(kind, 40 * SECOND, 60 * SECOND)
     assert boot_times.should_give_up(kind, 0, late)
-    # While they take long this is learnt, and forgotten when it is over.
+    # Long boot times are learnt, and so are short ones after them.
     for n in range(20):
         boot_times.record(kind, n * SECOND, (n + 80) * SECOND)
     assert boot_times.expected_us(kind) > 60 * SECOND
@@ -218,21 +223,21 @@
     assert not inventory.unlisted("vm-000004")
 
 
-def test_late_joiners_are_used_not_rented_anew():
+def test_machines_that_come_up_late_are_used_and_not_rented_again():
     model = Model(9)
     model.boot_factor = 5.0
     model.run(3)
     model.submit(submission("job-0", pieces=2, cpus=3.0, crew="free"))
     model.run(60)
     assert model.jobs["job-0"].told == "done"
-    # None was given up before it came; overdue ones may be replaced, within a bound.
+    # No machine was given up before it came up; overdue machines may be replaced, up to a bound.
     machines = list(model.cloud.machines.values())
     assert all(m.ended_us is None or m.ended_us >= m.since_us + m.boot_us for m in machines)
     assert len(machines) <= 6
 
 
 def test_the_cancellation_of_a_small_job_depends_on_the_groups_that_could_end_it():
-    model = settled()
+    model = service_model()
     core = model.hosts[0].core
     model.submit(submission("job-1", pieces=2, crew="free", expect_s=9.0))
     while "job-1" not in core.cluster_state.allocations:
@@ -240,14 +245,14 @@
     txn = core.jobs.cancelling.transaction("job-1")
     groups = {core.cluster_state.machines[name].group for name, _ in core.cluster_state.allocations["job-1"]}
     assert groups and groups <= set(txn.guards)
-    # One that is being split is not changed itself while its machines are moved, and folded, elsewhere.
+    # The record of a group that is being split does not change while its machines are moved and changed elsewhere.
     locks = {SPLIT + key[len(GROUP) :] for key in groups}
     assert not locks & set(txn.guards)
     core.limits.value_bytes = 10
     assert locks <= set(core.jobs.cancelling.transaction("job-1").guards)
 
 
-def test_a_swarm_of_single_tasks_is_ranked_once():
+def test_many_jobs_of_one_task_are_ranked_once():
     cluster_state = ClusterState()
     cluster_state.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
     machines = {f"vm-{n}": MachineRecord("x:1") for n in range(50)}
@@ -260,12 +265,12 @@
     placed = [plan.place(job, 1, 0.0) for job in queue(cluster_state, {})[0]]
     assert all(placed)
     assert plan.visits <= 2 * 50
-    # Nothing is overfilled, and few machines are used.
+    # No machine is overcommitted, and few machines are used.
     assert all(room.cpus >= -1e-6 and room.memory_gb >= -1e-6 for room in plan.rooms)
     assert len({room.machine.name for choices in placed for room, _ in choices}) <= 20
 
 
-def test_a_hold_of_a_swarm_is_small_enough_for_its_group():
+def test_the_allocation_of_a_job_of_one_task_is_small_enough_for_its_group():
     record = AllocationRecord(
         "job-123456", 1, "0", "archive-guild", 0.25, 0.0, 0.9, 1_764_600_000_000_000, by="berth-0"
     )
@@ -273,7 +278,7 @@
 
 
 def test_what_was_not_heard_while_this_process_stood_still_is_no_silence():
-    core = runner_of(settled()).core
+    core = leader_of(service_model()).core
     later = core.kernel.now_us + 60 * SECOND
     core.kernel.now_us = later
     for peer in core.peers.peers.values():
@@ -284,13 +289,13 @@
 
 
 def test_the_only_machine_of_a_type_that_never_comes_up_is_replaced() -> None:
-    # Found in a recorded day (inc-3c9f): it held the place of its own replacement for four minutes.
+    # Otherwise the machine takes the capacity that its own replacement needs, for four minutes (inc-3c9f).
     model = Model(11)
     model.cloud.capacity = 1
     boot = model._boot
     model.cloud.boot = lambda machine: 10**12 if machine.name == "vm-000000" else boot(machine)
     model.submit(submission("job-1", crew="free", urgency="urgent", shape="gang", pieces=1))
     model.run(50)
-    # Five seconds of boot time, two and a half times that and five more of patience; then as long again to boot.
+    # The boot time is 5 s.  The machine is overdue after 2.5 boot times and 5 s; its replacement boots after that.
     assert "vm-000000" in model.cloud.deleted and len(model.cloud.machines) == 2
     assert model.jobs["job-1"].told == "done"
--- a/tests/test_decommissioning.py
+++ b/tests/test_decommissioning.py
@@ -1,4 +1,4 @@
-"""Returning machines: nothing of a machine is freed before the cloud has confirmed its deletion."""
+"""Tests that no allocation of a machine is freed before the cloud has confirmed its deletion."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RefusingCloud:
-    """Refuses deletions until it is told otherwise, and counts them."""
+    """Refuses deletions while `refuses` is set, and counts the refusals."""
 
     def __init__(self, model: Model) -> None:
         self.refuses = True
@@ -22,7 +22,7 @@
         model.cloud.handle = self.handle  # type: ignore[method-assign]
 
     def handle(self, now_us: int, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """Answer as the cloud does, but for deletions that are refused."""
+        """Answer like the cloud, but refuse deletions while `refuses` is set."""
         if path == "/rentals/delete" and self.refuses:
             self.refused += 1
             return 503, {"error": "trouble"}
@@ -30,7 +30,7 @@
 
 
 def machine_with_tasks(model: Model) -> str:
-    """Run a service until its tasks are on machines; one of these machines."""
+    """Run a service until its tasks are on machines, and return the name of one of these machines."""
     model.checks()
     model.run(3)
     model.submit(submission("job-0", shape="service", pieces=TASKS, cpus=2.0, crew="free"))
@@ -47,7 +47,7 @@
     model.hung.add(name)
     held = {task for task, where in model.on.items() if name in where}
     model.run(40)
-    # The machine was found silent and drained, and its deletion was tried and refused.
+    # The silent machine was drained, and the cloud refused its deletion.
     cluster_states = [host.core.cluster_state for host in model.hosts]
     assert cloud.refused > 0
     assert all(cluster_state.machines[name].record.retiring for cluster_state in cluster_states)
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""`docs/meetings.md` against the code: the troubles, tests and days of each meeting of troubles."""
+"""Compares `docs/meetings.md` with the code: the faults, tests and days of each combination of faults exist."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "meetings.md").read_text()
 SECTIONS = {"Meetings of two troubles": 26, "Meetings asked for by name": 7, "Troubles of the bench": 13}
-"""Each table of the page, and how many rows it must have."""
+"""The headings of the page's tables, and how many rows each must have."""
 STANDARD_DAYS = {"busy", "restart", "zone", "apart", "loss", "gap"}
-"""Days of the users' own, which are not kept here."""
+"""Days that the users supply: no file of this repository defines them."""
 LEFT = "left:"
-"""How a cell begins that says why something is still to be done."""
+"""The beginning of a cell that says why something is still to be done."""
 
 
 def rows(title: str) -> list[list[str]]:
-    """The cells of the table under a heading, without its head."""
+    """Return the cells of the table under a heading, without the table's header."""
     text = PAGE.split(f"## {title}\n", 1)[1].split("\n## ", 1)[0]
     lines = [line for line in text.splitlines() if line.startswith("|")]
     return [[cell.strip() for cell in line.strip("|").split(" | ")] for line in lines[2:]]
 
 
 def quoted(cell: str) -> list[str]:
-    """The names that stand in backquotes."""
+    """Return the names in backquotes."""
     return re.findall(r"`([^`]+)`", cell)
 
 
