--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -194,7 +194,7 @@
             self.kernel.log("info", f"{name} is deleted and removed from its group")
 
     def _removal_transaction(self, names: list[str], removed: list[str]) -> Txn | None:
-        """Build the transaction that removes machines, and put their names into `removed`; None if nothing changes."""
+        """Build the transaction that removes machines, and put their names into `removed`; None without changes."""
         edits = GroupEdits(self.base)
         broken: dict[str, int] = {}
         removed.clear()
