--- a/ashtray/fleet/forecast.py
+++ b/ashtray/fleet/forecast.py
@@ -1,4 +1,4 @@
-"""When the queue would be served by the machines that are present or pending, and what renting would change."""
+"""Forecasts when the present and pending machines would serve the queue, and what renting more would change."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from ashtray.placement.rules import Ask, Room
 
 NEVER_US = 1 << 62
+"""The start time of a task that no machine of the forecast can run."""
 MAX_STEPS = 4000
-"""Machines looked at in one forecast: more is left for the next one."""
+"""The most placements in one forecast; the rest of the queue waits for the next one."""
 EPSILON = 1e-6
+"""The tolerance for rounding errors when resources are compared."""
 STOPPING_US = 2 * SECOND_US
-"""How long tasks that were told to stop may be expected to hold their places."""
+"""How long tasks that are being stopped are expected to keep their resources."""
 
 
 class Release(NamedTuple):
-    """Room that tasks free on a machine at a time of day.  Releases sort by time."""
+    """Resources that tasks free on a machine at a time of day.  Releases sort by time."""
 
     at_us: int
     cpus: float
@@ -31,20 +33,20 @@
 
 
 class FutureMachine:
-    """A machine with the room that is free on it, from when on, and what will be freed later."""
+    """A machine with its free resources, the time from which they are free, and the releases after that."""
 
     __slots__ = ("room", "from_us", "releases", "used")
 
     def __init__(self, room: Room, from_us: int, releases: list[Release]) -> None:
         self.room = room
         self.from_us = from_us
-        """The time of day from which on tasks can start here."""
+        """The time of day from which tasks can start on the machine."""
         self.releases = sorted(releases)
         self.used = False
-        """Whether tasks that wait were put here."""
+        """Whether the forecast has placed waiting tasks on the machine."""
 
     def earliest_us(self, spec: JobSpec) -> int:
-        """The time of day at which a task of this size fits."""
+        """Return the time of day from which a task of the job fits, or `NEVER_US`."""
         if self.room.fits(spec):
             return self.from_us
         cpus, gpus, memory_gb = self.room.cpus, self.room.gpus, self.room.memory_gb
@@ -58,7 +60,7 @@
         return NEVER_US
 
     def take(self, spec: JobSpec, at_us: int, most: int, run_us: int) -> int:
-        """Put up to `most` tasks here at that time, and return how many fit; what is put later starts no earlier."""
+        """Place up to `most` tasks at `at_us`, and return how many fit.  Later placements start no earlier."""
         self.from_us = max(self.from_us, at_us)
         while self.releases and self.releases[0].at_us <= at_us:
             release = self.releases.pop(0)
@@ -75,17 +77,17 @@
 
 
 def allocation_ends_us(
-    cluster_state: ClusterState, hold: Allocation, wall_us: int, run_us: Callable[[Job], int]
+    cluster_state: ClusterState, allocation: Allocation, wall_us: int, run_us: Callable[[Job], int]
 ) -> int:
-    """When the tasks of a hold may be expected to end, as the time of day."""
-    job = cluster_state.jobs.get(hold.job)
-    if job is None or hold.record.stop_us >= 0:
+    """Return when the tasks of an allocation are expected to end (time of day, us)."""
+    job = cluster_state.jobs.get(allocation.job)
+    if job is None or allocation.record.stop_us >= 0:
         return wall_us + STOPPING_US
     if job.spec.kind == "service":
         return NEVER_US
-    end_us = hold.record.placed_us + run_us(job)
-    # A task that runs over its estimate is as likely to go on for a part of what it has run.
-    return max(end_us, wall_us + (wall_us - hold.record.placed_us) // 4 + SECOND_US)
+    end_us = allocation.record.placed_us + run_us(job)
+    # A task that has overrun its estimate is expected to go on for a quarter of the time that it has run.
+    return max(end_us, wall_us + (wall_us - allocation.record.placed_us) // 4 + SECOND_US)
 
 
 def future_machines(
@@ -95,21 +97,21 @@
     ready_us: dict[str, int],
     run_us: Callable[[Job], int],
 ) -> list[FutureMachine]:
-    """The machines of a forecast; `ready_us` says when those that are pending may be expected."""
+    """Return the machines of a forecast.  `ready_us`: when each pending machine is expected to be up."""
     found = []
     for room in rooms:
         releases = []
-        for hold in room.machine.holds:
-            number = len(hold.tasks)
-            record = hold.record
-            at_us = allocation_ends_us(cluster_state, hold, wall_us, run_us)
+        for allocation in room.machine.holds:
+            number = len(allocation.tasks)
+            record = allocation.record
+            at_us = allocation_ends_us(cluster_state, allocation, wall_us, run_us)
             releases.append(Release(at_us, number * record.cpus, number * record.gpus, number * record.memory_gb))
         found.append(FutureMachine(room, ready_us.get(room.machine.name, wall_us), releases))
     return found
 
 
-class MachineClass(NamedTuple):
-    """What decides which machines a job may use, beside the size of its tasks."""
+class MachineFilter(NamedTuple):
+    """The restrictions of a job that decide, beside the size of its tasks, which machines it may use."""
 
     job_class: str
     types: tuple[str, ...]
@@ -117,7 +119,7 @@
     spot: bool
 
     def allows(self, future: FutureMachine) -> bool:
-        """Whether a machine is of an allowed type, zone and kind."""
+        """Return whether a machine has an allowed type and zone, and is on demand if it must be."""
         machine = future.room.machine
         return (
             (not self.types or machine.type in self.types)
@@ -126,90 +128,90 @@
         )
 
 
-class QueueEntry(NamedTuple):
-    """A machine by its place in the forecast, and when it has room; entries sort by time."""
+class HeapEntry(NamedTuple):
+    """A machine by its index in the forecast, and when it has free resources.  Entries sort by time."""
 
     at_us: int
-    number: int
+    machine_index: int
 
 
 class Forecast:
-    """The queue served in order on machines that are present, pending and called for.
+    """Serves the queue in order on machines that are present, pending or called for.
 
-    Jobs of one class that may use the same machines share one heap of these by the earliest time that they have
-    room; an entry that another job has made too early is put back when it comes up.
+    Jobs of one class that may use the same machines share a heap of these machines, by the earliest time at which a
+    task fits.  Placements of other jobs can make an entry too early: it is corrected when it reaches the top.
     """
 
     def __init__(self, machines: list[FutureMachine]) -> None:
         self.machines = machines
-        self.steps = MAX_STEPS
-        """How many more times tasks may be put on a machine."""
-        self._heaps: dict[MachineClass, list[QueueEntry]] = {}
-        self._taken: list[QueueEntry] = []
+        self.remaining_steps = MAX_STEPS
+        """How many more placements this forecast may make."""
+        self._heaps: dict[MachineFilter, list[HeapEntry]] = {}
+        self._gang_entries: list[HeapEntry] = []
 
-    def _heap(self, ask: Ask) -> list[QueueEntry]:
+    def _heap(self, ask: Ask) -> list[HeapEntry]:
         spec = ask.spec
-        allowed = MachineClass(spec.job_class, tuple(spec.types or ()), ask.zone or spec.zone, spec.spot)
-        heap = self._heaps.get(allowed)
+        machine_filter = MachineFilter(spec.job_class, tuple(spec.types or ()), ask.zone or spec.zone, spec.spot)
+        heap = self._heaps.get(machine_filter)
         if heap is None:
-            heap = self._heaps[allowed] = list(self._entries(allowed, spec))
+            heap = self._heaps[machine_filter] = list(self._entries(machine_filter, spec))
             heapq.heapify(heap)
         return heap
 
-    def _entries(self, allowed: MachineClass, spec: JobSpec) -> Iterator[QueueEntry]:
+    def _entries(self, machine_filter: MachineFilter, spec: JobSpec) -> Iterator[HeapEntry]:
         for number, machine in enumerate(self.machines):
             fits = machine.room.type.fits(spec.cpus, spec.gpus, spec.memory_gb) > 0
-            if not fits or not allowed.allows(machine):
+            if not fits or not machine_filter.allows(machine):
                 continue
             at_us = machine.earliest_us(spec)
             if at_us < NEVER_US:
-                yield QueueEntry(at_us, number)
+                yield HeapEntry(at_us, number)
 
     def earliest(self, ask: Ask) -> int:
-        """The time of day at which the next task of a job would have room, or `NEVER_US`."""
+        """Return the earliest time of day at which the next task of a job can start, or `NEVER_US`."""
         heap = self._heap(ask)
         while heap:
             entry = heap[0]
-            at_us = self.machines[entry.number].earliest_us(ask.spec)
+            at_us = self.machines[entry.machine_index].earliest_us(ask.spec)
             if at_us <= entry.at_us:
                 return entry.at_us
             heapq.heappop(heap)
             if at_us < NEVER_US:
-                heapq.heappush(heap, QueueEntry(at_us, entry.number))
+                heapq.heappush(heap, HeapEntry(at_us, entry.machine_index))
         return NEVER_US
 
     def take(self, ask: Ask, most: int, run_us: int) -> int:
-        """Put up to `most` tasks where `earliest` found room; returns how many."""
-        self.steps -= 1
+        """Place up to `most` tasks on the machine that `earliest` has found; return how many fit."""
+        self.remaining_steps -= 1
         heap = self._heap(ask)
         entry = heapq.heappop(heap)
-        machine = self.machines[entry.number]
+        machine = self.machines[entry.machine_index]
         count = machine.take(ask.spec, entry.at_us, most, run_us)
-        again_us = machine.earliest_us(ask.spec)
-        if again_us < NEVER_US and (count or again_us > entry.at_us):
-            again = QueueEntry(again_us, entry.number)
+        next_us = machine.earliest_us(ask.spec)
+        if next_us < NEVER_US and (count or next_us > entry.at_us):
+            next_entry = HeapEntry(next_us, entry.machine_index)
             if ask.spec.kind == "gang":
-                self._taken.append(again)
+                self._gang_entries.append(next_entry)
             else:
-                heapq.heappush(heap, again)
+                heapq.heappush(heap, next_entry)
         return count
 
-    def served(self, ask: Ask) -> None:
-        """A job's tasks have their places: what its gang took may be taken again after it.
+    def finish_job(self, ask: Ask) -> None:
+        """End the placement of a job: other jobs may use the machines of its gang after it.
 
-        Not before, for its tasks run at the same time.  The model test found a gang that waited for ever for a second
-        machine, because the forecast ran half of it after the other half.
+        The gang itself must not, for its tasks run at the same time.  Otherwise the forecast runs one half of the
+        gang after the other on one machine, and the gang waits for ever for a second machine.
         """
         heap = self._heap(ask)
-        for entry in self._taken:
+        for entry in self._gang_entries:
             heapq.heappush(heap, entry)
-        self._taken.clear()
+        self._gang_entries.clear()
 
     def add(self, machine: FutureMachine, ask: Ask) -> None:
-        """Add a machine that is called for: this job may use it, and so may others that it suits."""
+        """Add a machine that is called for a job; other jobs with suitable restrictions may use it, too."""
         number = len(self.machines)
         self.machines.append(machine)
         self._heap(ask)
-        for allowed, heap in self._heaps.items():
-            if allowed.allows(machine):
-                heapq.heappush(heap, QueueEntry(machine.from_us, number))
+        for machine_filter, heap in self._heaps.items():
+            if machine_filter.allows(machine):
+                heapq.heappush(heap, HeapEntry(machine.from_us, number))
