--- a/ashtray/teams/guarantees.py
+++ b/ashtray/teams/guarantees.py
@@ -1,16 +1,16 @@
-"""Guarantees by amount: what may be stopped of one team's work to give another one its guarantee.
+"""Guarantees as amounts: how much of one team's work may be preempted to give another team its guarantee.
 
 The protocol allows to stop "work that another team runs beyond its own guarantee".  That is an amount of CPUs and
 GPUs, not a property of jobs: a team that uses 5 CPUs of a guarantee of 4 runs one CPU beyond it, however large the
-array is that they belong to.  So what may be stopped is counted, task by task, against the team's *excess*: its use,
-less what is being stopped already, less its guarantee, of CPUs and GPUs both.
-
-Two controllers that decide at once would each stop the same excess.  Nothing else that they commit need conflict, so
-each such stop raises the version of a record of the victim's team (`now/claim/TEAM`) in the same transaction, and
-guards the version that its cluster state has: the later one conflicts, and sees on its next cluster state what the
-first has
-stopped, for a stop is marked in the holds themselves.  The record says who claimed what for whom, for people; only
-its version counts.  So claims need no end: what they took shows in the holds until it is gone.
+array is that these CPUs belong to.  So each victim task counts against its team's *excess*, in CPUs and in GPUs: the
+team's usage, less what is being stopped already, less its guarantee.
+
+Two controllers that decide at the same time could both preempt the same excess, as nothing else in their transactions
+need conflict.  So each such transaction also guards and writes a claim, a record of the victims' team
+(`now/claim/TEAM`).  The later transaction conflicts.  Its controller then sees in its next cluster state what the
+first one stopped, because a stop is marked in the allocations.  Only the claim's version counts; its content tells
+operators who stopped how much for which job.  Claims are never removed, and need not be: the allocations show what
+was stopped until its tasks are gone.
 """
 
 from __future__ import annotations
@@ -29,43 +29,46 @@
 
 
 def leaving(cluster_state: ClusterState) -> dict[str, Amounts]:
-    """By team, what its tasks hold that have been told to stop, and are counted as used until they are gone."""
+    """Return, by team, what the tasks use that were told to stop.
+
+    The team's usage in the cluster state includes it until these tasks are gone.
+    """
     found: dict[str, Amounts] = {}
-    for holds in cluster_state.allocations.values():
-        for hold in holds.values():
-            if hold.record.stop_us >= 0:
-                team = hold.record.team
-                found[team] = plus(found.get(team, (0.0, 0.0)), amounts(hold, len(hold.tasks)))
+    for by_key in cluster_state.allocations.values():
+        for allocation in by_key.values():
+            if allocation.record.stop_us >= 0:
+                team = allocation.record.team
+                found[team] = plus(found.get(team, (0.0, 0.0)), amounts(allocation, len(allocation.tasks)))
     return found
 
 
-def amounts(hold: Allocation, tasks: int) -> Amounts:
-    """What so many tasks of an allocation use."""
-    return tasks * hold.record.cpus, tasks * hold.record.gpus
+def amounts(allocation: Allocation, tasks: int) -> Amounts:
+    """Return what so many tasks of an allocation use."""
+    return tasks * allocation.record.cpus, tasks * allocation.record.gpus
 
 
 def plus(a: Amounts, b: Amounts) -> Amounts:
-    """The sum of two amounts."""
+    """Return the sum of two amounts."""
     return a[0] + b[0], a[1] + b[1]
 
 
 class Excess:
-    """What each team runs beyond its guarantee, as far as one cluster state shows, and what has been taken of it."""
+    """What each team runs beyond its guarantee, as a cluster state shows it."""
 
     def __init__(self, cluster_state: ClusterState, teams: dict[str, Team]) -> None:
-        going = leaving(cluster_state)
+        ending_by_team = leaving(cluster_state)
         self._left: dict[str, Amounts] = {}
         for team in teams.values():
-            used, gone = cluster_state.team_usage(team.name), going.get(team.name, (0.0, 0.0))
-            self._left[team.name] = used[0] - gone[0] - team.cpus, used[1] - gone[1] - team.gpus
+            used, ending = cluster_state.team_usage(team.name), ending_by_team.get(team.name, (0.0, 0.0))
+            self._left[team.name] = used[0] - ending[0] - team.cpus, used[1] - ending[1] - team.gpus
 
     def any(self, team: str) -> bool:
-        """Whether a team runs anything beyond its guarantee."""
+        """Return whether a team runs anything beyond its guarantee."""
         cpus, gpus = self._left.get(team, (0.0, 0.0))
         return cpus > AMOUNT_TOLERANCE or gpus > AMOUNT_TOLERANCE
 
     def allows(self, taken: dict[str, Amounts]) -> bool:
-        """Whether so much of each team may be stopped: of neither CPUs nor GPUs more than it runs beyond."""
+        """Return whether these amounts may be stopped: each within its team's excess of CPUs and of GPUs."""
         for team, (cpus, gpus) in taken.items():
             left = self._left.get(team, (0.0, 0.0))
             if cpus > max(left[0], 0.0) + AMOUNT_TOLERANCE or gpus > max(left[1], 0.0) + AMOUNT_TOLERANCE:
@@ -74,7 +77,11 @@
 
 
 def claim(txn: Txn, cluster_state: ClusterState, taken: dict[str, Amounts], by: str, job: str, wall_us: int) -> None:
-    """Put the claims for what a transaction stops into it, so that of two that are made at once one fails."""
+    """Add a claim on each team in `taken` to a transaction that stops these amounts of their work.
+
+    Of two such transactions that are made at the same time, one then fails.  `by` is the controller, `job` the id of
+    the job that the tasks are stopped for.
+    """
     for team, (cpus, gpus) in sorted(taken.items()):
         value: dict[str, Any] = {"by": by, "for": job, "cpus": cpus, "gpus": gpus, "at_us": wall_us}
         txn.guard(CLAIM + team, cluster_state.version(CLAIM + team)).put(CLAIM + team, value)
--- a/ashtray/teams/limits.py
+++ b/ashtray/teams/limits.py
@@ -1,4 +1,4 @@
-"""What a team may use, and what it is guaranteed."""
+"""Checks of jobs against the limit and the guarantee of their team."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def has_limit(team: Team) -> bool:
-    """Whether a team has a limit of CPUs or of GPUs."""
+    """Return whether a team has a limit of CPUs or of GPUs."""
     return team.cpus_max > 0 or team.gpus_max > 0
 
 
 def tasks_within(team: Team, cpus: float, gpus: float, spec: JobSpec) -> int:
-    """How many more tasks of a job the team's limit allows, with so much in use."""
+    """Return how many tasks of a job the team's limit allows, when the team uses `cpus` and `gpus` already."""
     count = spec.tasks
     for limit, used, need in ((team.cpus_max, cpus, spec.cpus), (team.gpus_max, gpus, spec.gpus)):
         if limit > 0 and need > 0:
@@ -24,14 +24,14 @@
 
 
 def can_ever_run(team: Team, spec: JobSpec) -> bool:
-    """Whether the job, alone, stays within its team's limit."""
+    """Return whether a job can run within its team's limit: an array task by task, any other job as a whole."""
     return tasks_within(team, 0.0, 0.0, spec) >= (1 if spec.kind == "array" else spec.tasks)
 
 
 def within_guarantee(team: Team, jobs: Iterable[tuple[Job, int]]) -> set[str]:
-    """The jobs that fit into the guarantee together with those before them.
+    """Return the ids of the jobs that fit into the team's guarantee together with all jobs before them.
 
-    They are given in order of acceptance, each with the number of its tasks that are done.
+    `jobs` are in order of acceptance, each with the number of its tasks that are done.
     """
     cpus = gpus = 0.0
     inside: set[str] = set()
--- a/tests/mutants/ownership.py
+++ b/tests/mutants/ownership.py
@@ -22,8 +22,8 @@
     ),
     "small-rest-is-kept": (
         GRANTS,
-        "idle = pressed or unused < wants[host].least[n] - AMOUNT_TOLERANCE",
-        "idle = pressed",
+        "idle = all_unused or unused < demands[host].smallest_task[n] - AMOUNT_TOLERANCE",
+        "idle = all_unused",
     ),
     "silent-within-its-lease": (REVIEW, "if us > self._lease_us + SILENT_US}", "if us > self._lease_us // 3}"),
     "others-jobs-keep-room-beyond-their-share": (
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -81,17 +81,21 @@
         "sum(max(shares.get(host, (0.0, 0.0))[n], used[host][n]) for host in others)",
         "sum(used[host][n] for host in others)",
     ),
-    "shares-on-an-unread-cluster-state": (GRANTS, "if self._read < self.cluster_state.version(key):", "if False:"),
+    "shares-on-an-unread-cluster-state": (
+        GRANTS,
+        "if self._read_revision < self.cluster_state.version(key):",
+        "if False:",
+    ),
     "placing-without-a-fence": (GRANTS, "if name not in self._fenced:", "if False:"),
     "old-fence-counts": (
         GRANTS,
-        "if above < self.cluster_state.version(TEAM + name) <= revision:",
+        "if guarded < self.cluster_state.version(TEAM + name) <= revision:",
         "if 0 < self.cluster_state.version(TEAM + name) <= revision:",
     ),
     "fence-not-followed": (
         GRANTS,
-        "if above < self.cluster_state.version(TEAM + name) <= revision:",
-        "if above < self.cluster_state.version(TEAM + name):",
+        "if guarded < self.cluster_state.version(TEAM + name) <= revision:",
+        "if guarded < self.cluster_state.version(TEAM + name):",
     ),
     "nothing-ages": (ORDER, "return -1 if self.aged or self.begins else self.missed", "return self.missed"),
     "bands-across-teams": (
@@ -115,7 +119,7 @@
         "if cpus > max(left[0], 0.0) + AMOUNT_TOLERANCE or gpus > max(left[1], 0.0) + AMOUNT_TOLERANCE:",
         "if left[0] <= AMOUNT_TOLERANCE and left[1] <= AMOUNT_TOLERANCE:",
     ),
-    "stopping-counts-as-used": ("ashtray/teams/guarantees.py", "if hold.record.stop_us >= 0:", "if False:"),
+    "stopping-counts-as-used": ("ashtray/teams/guarantees.py", "if allocation.record.stop_us >= 0:", "if False:"),
     "stopped-at-the-limit": (
         PLACER,
         "if shared and not self._share_allows(plan, job, need, batch, turn):",
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -12,7 +12,7 @@
 from ashtray.placement.records import AllocationRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP, TEAM
 from ashtray.store.client import Txn
-from ashtray.teams.grants import LAST, Grants, Want
+from ashtray.teams.grants import LAST_TURN, Demand, Grants
 from tests.fakes.state import State
 
 HOSTS = ("h0", "h1", "h2")
@@ -119,7 +119,7 @@
             host.fence()
         elif op == "share":
             # Who has gone, or is taken to have, gives up all; who has tasks waiting gives up nothing unasked.
-            wants = dict.fromkeys(HOSTS[slot % 2 :], Want(2.0 * count * (slot == 1)))
+            wants = dict.fromkeys(HOSTS[slot % 2 :], Demand(2.0 * count * (slot == 1)))
             host.send(host.grants.reshare("crew", SPEC, count, wants, 3 * slot + n, slot < 2))
         elif op == "free":
             host.free(slot)
@@ -139,7 +139,7 @@
         hosts[0].sync()
         if hosts[0].grants.allowed("crew", GANG) >= GANG.tasks:
             break
-        hosts[0].send(hosts[0].grants.reshare("crew", GANG, GANG.tasks, dict.fromkeys(HOSTS, Want())))
+        hosts[0].send(hosts[0].grants.reshare("crew", GANG, GANG.tasks, dict.fromkeys(HOSTS, Demand())))
     assert hosts[0].grants.allowed("crew", GANG) == GANG.tasks
 
 
@@ -158,7 +158,7 @@
     for host in hosts:
         host.sync()
     assert hosts[1].send(hosts[1].placement(0, 4))
-    wants = {"h0": Want(24.0), "h1": Want(), "h2": Want()}
+    wants = {"h0": Demand(24.0), "h1": Demand(), "h2": Demand()}
     assert hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 12, wants))
     assert hosts[0].grants.reshare("crew", SPEC, 12, wants) is None
     hosts[0].sync()
@@ -171,7 +171,7 @@
     state, hosts = settled()
     assert hosts[2].send(hosts[2].placement(0, 4))
     hosts[0].sync()
-    wants = {"h0": Want(20.0), "h1": Want(20.0)}
+    wants = {"h0": Demand(20.0), "h1": Demand(20.0)}
     # It dies with its share in full use: nothing is left of it but what its tasks hold.
     assert hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 10, wants)) is False
     hosts[2].free(0)
@@ -194,7 +194,7 @@
         host.free(0)
         host.send(host.placement(0, 3))
     before = state.revision
-    wants = dict.fromkeys(HOSTS, Want(50.0))
+    wants = dict.fromkeys(HOSTS, Demand(50.0))
     for _ in range(5):
         for host in hosts:
             host.sync()
@@ -208,7 +208,7 @@
     # Each needs the whole limit: the one that goes first in the queue gets it, whoever asks more often.
     state, hosts = settled()
     turns = {"h0": 5, "h1": 9}
-    wants = {host: Want(24.0, 0.0, turns.get(host, LAST)) for host in HOSTS}
+    wants = {host: Demand(24.0, 0.0, turns.get(host, LAST_TURN)) for host in HOSTS}
     for n in range(12):
         host = hosts[1] if n % 3 else hosts[0]
         host.sync()
@@ -226,7 +226,7 @@
     for host in hosts:
         host.sync()
     assert hosts[0].send(txn)
-    wants = dict.fromkeys(HOSTS, Want(50.0))
+    wants = dict.fromkeys(HOSTS, Demand(50.0))
     for _ in range(3):
         hosts[0].sync()
         hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 10, wants))
@@ -282,13 +282,13 @@
     for host, count in zip(hosts, (7, 2, 2), strict=True):
         host.sync()
         assert host.send(host.placement(0, count))
-    waiting = dict.fromkeys(HOSTS, Want(50.0, least=(2.0, 0.0)))
+    waiting = dict.fromkeys(HOSTS, Demand(50.0, smallest_task=(2.0, 0.0)))
     for _ in range(3):
         hosts[1].sync()
         hosts[1].send(hosts[1].grants.reshare("crew", SPEC, 1, waiting))
     assert hosts[1].grants.allowed("crew", SPEC) == 1
     # A gang needs what it collects, however little that is.
-    collecting = {**waiting, "h1": Want(50.0, gang=3)}
+    collecting = {**waiting, "h1": Demand(50.0, first_gang=3)}
     hosts[2].sync()
     assert hosts[2].grants.reshare("crew", SPEC, 1, collecting) is None
 
@@ -300,4 +300,4 @@
         host.cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, owner, n)), n + 1)
     queue = [host.cluster_state.jobs[f"job-{n}"] for n in range(5)]
     wants = host.grants.wants("crew", queue, lambda job: job.record.owner, HOSTS)
-    assert [wants[name].least for name in HOSTS] == [(1.5, 0.0), (0.0, 0.0), (0.0, 0.0)]
+    assert [wants[name].smallest_task for name in HOSTS] == [(1.5, 0.0), (0.0, 0.0), (0.0, 0.0)]
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -19,7 +19,7 @@
 from ashtray.config.settings import Team
 from ashtray.jobs.model import JobSpec
 from ashtray.placement.state_keys import TEAM
-from ashtray.teams.grants import Grants, Want
+from ashtray.teams.grants import Demand, Grants
 
 SPEC = JobSpec("any", "crew", "array", 2, 9, 1.0, 0.0, 0.0, "img", 0.0)
 KEY = TEAM + "crew"
@@ -72,9 +72,9 @@
 def grants_of(hosts: list[str], world: World, n: int) -> Grants:
     view = world.views[n]
     grants = Grants(hosts[n], hosts, [Team("crew", cpus_max=float(len(hosts)))], Late(hosts, view))  # type: ignore[arg-type]
-    grants._above = {} if view.above is None else {"crew": view.above}
+    grants._newest_guarded = {} if view.above is None else {"crew": view.above}
     grants._fenced = {"crew"} if view.above is None else set()
-    grants._read = view.read
+    grants._read_revision = view.read
     return grants
 
 
@@ -111,7 +111,7 @@
         if fence is not None and view.version == world.version:
             version = world.version + 1
             yield f"{n} fences", world._replace(version=version, views=known(view._replace(version=version)))
-        wants = {host: Want(9.0 * want) for host, want in zip(hosts, world.wants, strict=True) if want >= 0}
+        wants = {host: Demand(9.0 * want) for host, want in zip(hosts, world.wants, strict=True) if want >= 0}
         for urgent in (1, 2):
             txn = grants.reshare("crew", SPEC, 2, wants, 0, urgent == 1)
             if txn is not None and view.version == world.version:
