--- a/ashtray/placement/__init__.py
+++ b/ashtray/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: the cluster state, the ordered rules, commits and the queue."""
+"""Placement of tasks: the cluster state, the queue, the placement rules and the transactions that place tasks."""
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -1,7 +1,7 @@
-"""The copy of the records under ``now/`` that every controller decides on; it is a little late.
+"""The cluster state: a controller's slightly late copy of the state service's records under ``now/``.
 
-`ClusterState` applies changes, one record at a time.  `GroupIndex` and `TaskIndex` keep up to date what is asked for
-often, by what changed: the work must grow with the changes, not with the machines or the queue.
+`ClusterState` applies changes, one record at a time.  `GroupIndex` and `TaskIndex` keep derived tables up to date
+incrementally: the cost must grow with the number of changes, not with that of machines or queued jobs.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 )
 from ashtray.placement.task_index import TaskIndex
 
-UNREAD = 1 << 62
-"""The revision up to which a copy that nobody follows counts as read."""
+ALL_REVISIONS = 1 << 62
+"""Later than any revision: a cluster state that no follower updates counts as read completely."""
 MAX_OVER = 20_000
-"""So many final states of jobs are kept."""
+"""How many final states of jobs are kept; the oldest entry is dropped first."""
 MAX_ABSENT = 20_000
-"""So many ids of jobs that have no final state are kept."""
+"""How many ids of jobs without a final state are kept; the oldest entry is dropped first."""
 
 
 def _no_clock() -> int:
@@ -44,42 +44,42 @@
 
 
 class ClusterState:
-    """The state of the cluster as of the follower's last round, plus this controller's own commits."""
+    """The cluster state as of the follower's last read, plus this controller's own commits."""
 
     def __init__(
         self, job_bytes: int = UNLIMITED, most_later: int = MOST_LATER, clock: Callable[[], int] = _no_clock
     ) -> None:
-        """Begin with nothing.
+        """Start without any records.
 
-        `job_bytes` is what a job's record may take.  Jobs of up to `most_later` tasks count as done before their
-        records are moved.  `clock` returns the time of day in microseconds.
+        `job_bytes` is the maximum size of a job's record.  Jobs of up to `most_later` tasks count as done before
+        their records are moved to the finished jobs.  `clock` returns the time of day in microseconds.
         """
         self._most_later = most_later
         self._clock = clock
         self.loads = 0
-        """How often it was begun anew."""
-        self.upto = UNREAD
-        """The revision up to which all changes are in it; later ones only where they are this process's own."""
+        """How often all records were read from scratch."""
+        self.upto = ALL_REVISIONS
+        """The revision up to which all changes are included; of later ones only this process's own are."""
         self.lean = False
-        """Whether a record in compact form was seen: then no controller of the version before is about."""
+        """Whether a record in compact form was seen: then no controller of the previous version is running."""
         self.over: dict[str, Any] = {}
-        """Final states of jobs that were read or seen lately, by job id; they never change."""
+        """Final states of jobs that were read or followed lately, by job id; they never change."""
         self.cancellations = CancellationLog()
-        """The cancellations that were seen lately, for peers that cannot read the state service."""
+        """Recent cancellations, for peers that cannot read the state service."""
         self.job_bytes = job_bytes
         self.clear()
 
     def clear(self) -> None:
-        """Forget all records but the final states of jobs, to be read anew."""
+        """Drop all records except the final states of jobs, before they are read from scratch."""
         self.loads += 1
         self.changes = 0
-        """How many changes were taken in."""
+        """A counter that grows with each change; callers compare it to see whether anything changed."""
         self.jobs: dict[str, Job] = {}
         """The live jobs, by id."""
         self.absent: dict[str, None] = {}
-        """Ids of which no final state was found since all was read: one written later would be seen."""
+        """Ids of jobs whose final state was looked up and not found; the follower sees one that is written later."""
         self.cancelled_elsewhere: set[str] = set()
-        """Jobs that are cancelled by the word of a peer, while this controller has not read so itself.
+        """Jobs that a peer reports as cancelled, while this controller has not read their final state itself.
 
         Some may be unknown here: accepted, placed and cancelled since the last read.
         """
@@ -87,25 +87,27 @@
         self._clear_indexes()
         self._versions: dict[str, int] = {}
         """The version of each record, by key."""
-        self._gone: dict[str, int] = {}
-        """For keys that this process removed, later than what was read, the version of that: older changes of them
-        may still come in."""
+        self._removed_at: dict[str, int] = {}
+        """The revisions of this process's own removals that were not read yet, by key.
+
+        Older changes of these keys may still arrive and must not bring the records back.
+        """
 
     def _clear_tables(self) -> None:
         """Forget the records that are neither jobs nor groups."""
         self.controllers: dict[str, Any] = {}
-        """By host name.  Each change makes a new table, so what was derived from an old one is known to be old."""
+        """By host name.  A change replaces the dict, so users of derived data notice it by comparing identities."""
         self.fleet: tuple[Any, int] | None = None
-        """The record of the controller that runs the fleet, and its version."""
+        """The record of the fleet leader, and its version."""
         self.rentals: Any = None
         self.claims: dict[str, Any] = {}
-        """By team, what was last stopped of its work for another one's guarantee."""
+        """By team, which of its work was last preempted for another team's guarantee."""
         self.shares: dict[str, dict[str, tuple[float, float]]] = {}
-        """For each team with a limit, and each controller, the CPUs and GPUs that it may use."""
+        """For each team with a limit, the CPUs and GPUs that each controller may use."""
         self.types: dict[str, MachineType] = {}
-        """By name."""
+        """Machine types by name."""
         self._types: dict[str, dict[str, MachineType]] = {}
-        """By the keys of the records that they are in."""
+        """Machine types by the key of the record that they are in."""
         self.estimates: dict[str, Any] = {}
         """The records of learnt run times, by key."""
 
@@ -115,30 +117,30 @@
         self._groups = GroupIndex(self._tasks.job_changed)
         self._tasks.follow(self._groups.allocations, self._groups.done)
         self.groups = self._groups.groups
-        """By key."""
+        """Groups by key."""
         self.machines = self._groups.machines
-        """By name; the one that changed last is the last."""
+        """Machines by name; the most recently changed one is the last."""
         self.allocations = self._groups.allocations
-        """For each job its allocations."""
+        """By job id, its allocations."""
         self.moved = self._groups.moved
-        """For each group that is being split, up to which machine and which job's completed tasks it has been."""
+        """For each group that is being split, the last machine and the last job's completed tasks that have moved."""
 
     # Changes
 
     def read(self, revision: int) -> None:
-        """Note that all changes up to a revision have been put or removed."""
+        """Note that all changes up to a revision have been applied."""
         self.upto = revision
-        if self._gone:
-            self._gone = {key: version for key, version in self._gone.items() if version > revision}
+        if self._removed_at:
+            self._removed_at = {key: version for key, version in self._removed_at.items() if version > revision}
         if self._tasks.confirm():
             self.changes += 1
 
     def put(self, key: str, value: Any, version: int) -> None:
-        """Take in a record as of a version; one that is not newer than what is known is passed over."""
+        """Apply a record of the given version; it is ignored unless it is newer than what is known."""
         if key.startswith(OVER):
             self.note_final_state(key[len(OVER) :], value, version)
             return
-        if max(self._versions.get(key, 0), self._gone.get(key, 0)) >= version:
+        if max(self._versions.get(key, 0), self._removed_at.get(key, 0)) >= version:
             return
         self._versions[key] = version
         self.changes += 1
@@ -159,7 +161,7 @@
         self._job_changed(job_id)
 
     def _put_in_table(self, key: str, value: Any, version: int) -> None:
-        """Take in a record that is neither a job's nor a group's; one of an unknown key is passed over."""
+        """Apply a record that is neither a job's nor a group's; unknown keys are ignored."""
         if key.startswith(CONTROLLER):
             self.controllers = {**self.controllers, key[len(CONTROLLER) :]: value}
         elif key.startswith(TEAM):
@@ -177,12 +179,12 @@
             self.estimates[key] = value
 
     def remove(self, key: str, version: int) -> None:
-        """Take in the removal of a record by the change of revision `version`; an old one is passed over."""
+        """Apply the removal of a record at revision `version`; it is ignored if a newer record is known."""
         if self._versions.get(key, 0) >= version:
             return
         self._versions.pop(key, None)
         if version > self.upto:
-            self._gone[key] = version
+            self._removed_at[key] = version
         self.changes += 1
         if key.startswith(GROUP):
             self._groups.remove_group(key)
@@ -199,7 +201,7 @@
         self._job_changed(job_id)
 
     def _remove_from_table(self, key: str) -> None:
-        """Drop a record that is neither a job's nor a group's.  What a team's work was stopped for is kept."""
+        """Drop a record that is neither a job's nor a group's.  Claims are kept."""
         if key.startswith(CONTROLLER):
             removed = key[len(CONTROLLER) :]
             self.controllers = {host: value for host, value in self.controllers.items() if host != removed}
@@ -217,11 +219,11 @@
 
     @property
     def types_complete(self) -> bool:
-        """Whether all machine types are known: where each has a record of its own, `TYPES` is written last."""
+        """Whether all machine types are known: if each has its own record, `TYPES` is written after them."""
         return TYPES in self._types
 
     def type_records(self) -> dict[str, dict[str, MachineType]]:
-        """The machine types by the records that they are in."""
+        """Return the machine types by the key of the record that they are in."""
         return dict(self._types)
 
     def _types_changed(self) -> None:
@@ -234,7 +236,7 @@
     # What is known of jobs
 
     def note_final_state(self, job_id: str, state: Any, version: int) -> None:
-        """Take in a job's final state, written by the change of revision `version`."""
+        """Apply a job's final state, written at revision `version`."""
         if job_id not in self.over and state["status"] == "cancelled":
             self.cancellations.note(version, job_id)
         self.over[job_id] = state
@@ -248,7 +250,7 @@
             del self.over[next(iter(self.over))]
 
     def note_absent(self, job_id: str) -> None:
-        """Note that a final state was looked for and is not there: it will be seen once it is."""
+        """Note that a job's final state was looked up and does not exist; the follower sees it once it is written."""
         if job_id in self.over:
             return
         self.absent[job_id] = None
@@ -256,9 +258,9 @@
             del self.absent[next(iter(self.absent))]
 
     def note_cancelled_elsewhere(self, job_ids: Iterable[str]) -> bool:
-        """Take a peer's word that jobs are cancelled; returns whether that is news.
+        """Note that a peer reports these jobs as cancelled; return whether any of that is new.
 
-        None of their tasks may run any more.  Their records are read once the state service can be.
+        None of their tasks may run any more.  Their final states are read once the state service can be reached.
         """
         news = {job_id for job_id in job_ids if job_id not in self.over} - self.cancelled_elsewhere
         self.cancelled_elsewhere |= news
@@ -267,75 +269,79 @@
         return bool(news)
 
     def knows(self, job_id: str) -> bool:
-        """Return whether a job is surely accepted: its record or its final state was seen."""
+        """Return whether a job is known to be accepted: its record or its final state was seen."""
         return job_id in self.jobs or job_id in self.over
 
     def is_live(self, job_id: str) -> bool:
-        """Return whether a job's record is known, so it was not over when that was read."""
+        """Return whether a job's record is known, so the job was not over when the record was read."""
         return job_id in self.jobs
 
     def is_over(self, job_id: str) -> bool:
-        """Return whether a job is known to be over; one that is merely not known yet is not."""
+        """Return whether a job is known to be over; False for a job that this controller does not know yet."""
         if job_id in self.cancelled_elsewhere:
             return True
         return job_id not in self.jobs and (job_id in self.over or job_id in self.allocations)
 
     def _is_confirmed(self, job: Job) -> bool:
-        """Return whether all that is shown of a job's tasks was also read, with everything before it (point 13).
+        """Return whether all records of a job's tasks are from revisions that were read completely (point 13).
 
-        This process's own changes are shown at once, and what others wrote just before them need not be.  Found on a
-        simulated day and by the model test: a fold came after a cancellation which its controller had not read yet,
-        so a cancelled job counted as done there, and the jobs after it ran.
+        This process's own changes show at once, while peers' changes just before them may still be missing.
+        Otherwise, if this controller's fold (the transaction that writes what workers reported into group records)
+        came after a cancellation that it had not read yet, the cancelled job would count as done, and the jobs that
+        depend on it would run.
         """
         groups = self.groups
-        holding = self._groups.done.get(job.id, ())
-        return job.version <= self.upto and all(groups[key].version <= self.upto for key in holding)
+        group_keys = self._groups.done.get(job.id, ())
+        return job.version <= self.upto and all(groups[key].version <= self.upto for key in group_keys)
 
-    # What is asked for often
+    # Queries
 
     def version(self, key: str) -> int:
         """Return the version of a record, 0 if there is none."""
         return self._versions.get(key, 0)
 
     def waiting(self) -> dict[str, list[int]]:
-        """Return the ready jobs with tasks that have no place, and these tasks, lowest first."""
+        """Return the ready jobs with unplaced tasks, and these tasks, lowest number first."""
         return self._tasks.waiting()
 
     def completed(self) -> set[str]:
-        """Return the live jobs all of whose tasks are done; small ones only once that was read with all before it."""
+        """Return the live jobs all of whose tasks are done; small jobs only once that is confirmed (point 13)."""
         return self._tasks.completed()
 
     def unconfirmed(self) -> bool:
-        """Return whether the end of a small job waits for what was written before it to be read."""
+        """Return whether a small job is done but not confirmed: earlier changes are still to be read."""
         return self._tasks.unconfirmed()
 
     def all_done(self, job: Job) -> bool:
-        """Return whether all tasks of a job are done by what is shown, read or not."""
+        """Return whether all tasks of a job are done, whether that is confirmed or not."""
         return self._tasks.all_done(job)
 
     def leaving(self) -> dict[str, list[tuple[str, Allocation]]]:
-        """Return, by job, the allocations whose tasks are about to end, each with the name of its machine."""
+        """Return, by job, the allocations whose tasks are about to end, each with its machine's name."""
         return self._tasks.leaving()
 
     def placed(self, job_id: str) -> set[int]:
-        """Return the tasks of a job that have a place; not to be changed by the caller."""
+        """Return the placed tasks of a job; the caller must not change the set."""
         return self._tasks.placed(job_id)
 
     def finished(self, job: Job) -> set[int]:
-        """Return the tasks of a job that are done, by its own record and by those of groups."""
+        """Return the tasks of a job that are done, by its own record and by the group records."""
         return self._tasks.finished(job)
 
     def blame(self, machine: Machine) -> int:
-        """Return how much speaks for a fault of a machine.
+        """Return how strongly failed tasks suggest that a machine is faulty, in units of `machine_health`.
 
-        `machine_health.SICK_BLAME` and more will do to return it.
+        From `machine_health.SICK_BLAME` on the machine is returned to the cloud.
         """
         return machine_blame(machine, self.jobs, self.over, self._tasks.finished)
 
     def take_touched(self) -> list[str]:
-        """Return the machines whose record, or whose jobs, changed since the last call, by name."""
+        """Return the names of the machines whose record, or whose jobs, changed since the last call."""
         return self._groups.take_touched()
 
     def team_usage(self, team: str, by: str | None = None) -> tuple[float, float]:
-        """Return the CPUs and GPUs that a team holds, ending tasks included; with `by`, only what that one placed."""
+        """Return the CPUs and GPUs that a team uses, ending tasks included.
+
+        With `by`, only allocations that this controller placed count.
+        """
         return self._groups.usage.of(team, by)
--- a/ashtray/placement/compact_record.py
+++ b/ashtray/placement/compact_record.py
@@ -1,9 +1,9 @@
-"""The compact form of a group's record: what machines and allocations have in common is written once.
+"""The compact form of a group record, in which values shared by several machines or allocations are stored once.
 
-The full form is a map by field names, as `GroupRecord` has it.  The compact form, called lean form in log lines and
-on other pages, has tables of the kinds of allocations (team, amounts, controller) and of images, and rows of machines
-that point into them.  It takes about a third of the bytes, so each job changes fewer records.  A version before it
-cannot read it: it is written only once no controller of such a version is left.
+The full form is a map by field names, like `GroupRecord`.  The compact form, called lean form in log lines and on
+other pages, consists of a table of kinds of allocations (team, amounts, controller), a table of images, and a row for
+each machine that refers to table entries by index.  It takes about a third of the bytes, so each job changes fewer
+records.  Older versions cannot read it: it is written only once no controller of such a version is left.
 """
 
 from __future__ import annotations
@@ -18,55 +18,57 @@
 from ashtray.placement.records import AllocationRecord
 
 FORM = "form"
-"""The field by which a record in compact form is recognized."""
+"""The field that only records in compact form have."""
 SPOT, RETIRING = 1, 2
 """Bits of a machine's flags."""
 PLACED_US = AllocationRecord.__struct_fields__.index("placed_us")
-"""Where an allocation, which is written as a list, says when it was placed."""
+"""The index of the placement time in an allocation, which is encoded as a list."""
 JOB_PREFIX = "job-"
-"""What all job ids begin with; it is left out."""
+"""The prefix of all job ids, which the compact form leaves out."""
 JOB_PREFIX_CHARS = len(JOB_PREFIX)
 SPARE_ENTRIES = 16
-"""Entries of the tables that may be unused, beside a quarter of those that are used."""
+"""How many table entries may be unused, in addition to a quarter of the number of used ones."""
 
 
 @dataclass(slots=True)
 class _Tables:
-    """What rows of machines point into, each entry with its number."""
+    """The tables that the rows of machines refer to; each entry maps to its index."""
 
     since_s: int
-    """What times of placement count from: seconds of the time of day."""
+    """The time of day, in seconds, from which placement times are counted."""
     kinds: dict[tuple[Any, ...], int]
-    """Team, CPUs, GPUs, memory in GB and placing controller of allocations."""
+    """Kinds of allocations: team, CPUs, GPUs, memory in GB and placing controller."""
     images: dict[tuple[str, float], int]
-    """Names and sizes in GB."""
+    """Images: name and size in GB."""
 
     @classmethod
     def of_record(cls, packed: dict[str, Any]) -> _Tables:
-        """Take over the tables of a compact record."""
+        """Return the tables of a compact record."""
         kinds = {tuple(kind): n for n, kind in enumerate(packed["kinds"])}
         images = {(image, size): n for n, (image, size) in enumerate(packed["images"])}
         return cls(packed["since"], kinds, images)
 
     @classmethod
     def empty(cls, machines: dict[str, Any]) -> _Tables:
-        """Begin with empty tables, for machines in full form: times count from the earliest placement."""
-        placed_us = (hold[PLACED_US] for machine in machines.values() for hold in machine.get("holds", ()))
+        """Return empty tables for machines in full form; times are counted from the earliest placement."""
+        placed_us = (
+            allocation[PLACED_US] for machine in machines.values() for allocation in machine.get("holds", ())
+        )
         return cls(min(placed_us, default=0) // SECOND_US, {}, {})
 
-    def are_wasteful(self, rows: dict[str, Any]) -> bool:
-        """Return whether too much of the tables is of tasks long gone: that takes room in the record, and time."""
-        used_kinds = {hold[3] for row in rows.values() for hold in row[4]}
+    def need_rebuild(self, rows: dict[str, Any]) -> bool:
+        """Return whether so many entries are unused that the record is needlessly large and slow to process."""
+        used_kinds = {allocation[3] for row in rows.values() for allocation in row[4]}
         used_images = {n for row in rows.values() for n in row[3]}
         used = len(used_kinds) + len(used_images)
         return len(self.kinds) + len(self.images) > used + used // 4 + SPARE_ENTRIES
 
 
 def pack(value: dict[str, Any], before: dict[str, Any] | None = None, changed: Container[str] = ()) -> dict[str, Any]:
-    """Return a group's record, given in full form, in compact form.  When tasks were placed is kept to the second.
+    """Return a group record, given in full form, in compact form.  Placement times are rounded down to seconds.
 
-    `before` is the compact record that this one replaces: rows of machines that are not `changed` are taken over as
-    they are, with the tables that they point into, so writing and reading cost only what has changed.
+    `before` is the compact record that this one replaces.  Its tables, and its rows of machines that are not in
+    `changed`, are reused as they are, so writing and reading cost only what has changed.
     """
     machines: dict[str, Any] = value["machines"]
     tables = _Tables.empty(machines) if before is None else _Tables.of_record(before)
@@ -75,7 +77,7 @@
     for name, machine in machines.items():
         row = None if name in changed else known.get(name)
         rows[name] = _pack_machine(machine, tables) if row is None else row
-    if before is not None and tables.are_wasteful(rows):
+    if before is not None and tables.need_rebuild(rows):
         return pack(value)
     packed = {
         FORM: 2,
@@ -92,24 +94,24 @@
 
 
 def _pack_machine(machine: dict[str, Any], tables: _Tables) -> list[Any]:
-    """Return the row of a machine: address, flags, token, images, allocations and, where there are any, failed jobs.
+    """Return the row of a machine: address, flags, token, images, allocations and, if there are any, failed jobs.
 
-    What is new is added to the tables.
+    Adds missing entries to the tables.
     """
-    holds = _pack_holds(machine.get("holds", ()), tables)
+    allocations = _pack_allocations(machine.get("holds", ()), tables)
     images = tables.images
     cached = [images.setdefault((image, round(size, 2)), len(images)) for image, size in machine.get("images", ())]
     flags = (SPOT if machine.get("spot") else 0) | (RETIRING if machine.get("retiring") else 0)
-    row = [machine["address"], flags, machine.get("token", 0), cached, holds]
+    row = [machine["address"], flags, machine.get("token", 0), cached, allocations]
     failed = machine.get("failed")
     return [*row, failed] if failed else row
 
 
-def _pack_holds(holds: Iterable[Sequence[Any]], tables: _Tables) -> list[list[Any]]:
-    """Return the rows of allocations; one has a sixth entry only where its tasks are to be stopped."""
+def _pack_allocations(allocations: Iterable[Sequence[Any]], tables: _Tables) -> list[list[Any]]:
+    """Return the rows of allocations; a row has a sixth entry only if its tasks are to be stopped."""
     since_s, kinds = tables.since_s, tables.kinds
     rows = []
-    for job, attempt, tasks, team, cpus, gpus, memory_gb, placed_us, stop_us, by in holds:
+    for job, attempt, tasks, team, cpus, gpus, memory_gb, placed_us, stop_us, by in allocations:
         kind = kinds.setdefault((team, _number(cpus), _number(gpus), _number(memory_gb), by), len(kinds))
         row = [job[JOB_PREFIX_CHARS:], attempt, tasks, kind, placed_us // SECOND_US - since_s]
         rows.append(row if stop_us < 0 else [*row, stop_us])
@@ -117,22 +119,22 @@
 
 
 def _number(value: float) -> float:
-    """Return whole numbers without their fraction, which takes fewer bytes."""
+    """Return a whole number as an int, which takes fewer bytes than a float."""
     return int(value) if value == int(value) else value
 
 
 def unpack(
     value: dict[str, Any], before: dict[str, Any] | None = None, known: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
-    """Return a group's record, given in either form, in full form.
+    """Return a group record, given in either form, in full form.
 
-    `before` is a compact record that was read earlier, and `known` its machines in full form: rows that are the same
-    are not read again, and the very same objects stand for them.
+    `before` is a compact record that was read earlier, and `known` its machines in full form.  Rows that did not
+    change are not decoded again: the result has the same objects as `known`.
     """
     if FORM not in value:
         return value
     same: dict[str, Any] = {}
-    if before is not None and known is not None and _follows(value, before):
+    if before is not None and known is not None and _extends_tables(value, before):
         same = before["machines"]
     machines: dict[str, Any] = {}
     for name, row in value["machines"].items():
@@ -148,7 +150,7 @@
 
 def _unpack_machine(row: list[Any], packed: dict[str, Any]) -> dict[str, Any]:
     """Return a machine in full form from its row in a compact record."""
-    address, flags, token, cached, holds, *failed = row
+    address, flags, token, cached, allocations, *failed = row
     machine: dict[str, Any] = {"address": address}
     if flags & SPOT:
         machine["spot"] = True
@@ -161,29 +163,29 @@
     if cached:
         images = packed["images"]
         machine["images"] = [images[n] for n in cached]
-    if holds:
-        machine["holds"] = _unpack_holds(holds, packed["kinds"], packed["since"])
+    if allocations:
+        machine["holds"] = _unpack_allocations(allocations, packed["kinds"], packed["since"])
     return machine
 
 
-def _unpack_holds(rows: list[Any], kinds: list[Any], since_s: int) -> list[list[Any]]:
-    """Return allocations as `AllocationRecord` is written, from their rows."""
-    holds = []
+def _unpack_allocations(rows: list[Any], kinds: list[Any], since_s: int) -> list[list[Any]]:
+    """Return allocations, encoded like `AllocationRecord`, from their rows."""
+    allocations = []
     for job, attempt, tasks, kind, age_s, *stop in rows:
         team, cpus, gpus, memory_gb, by = kinds[kind]
         placed_us = (since_s + age_s) * SECOND_US
         stop_us = stop[0] if stop else -1
-        holds.append([JOB_PREFIX + job, attempt, tasks, team, cpus, gpus, memory_gb, placed_us, stop_us, by])
-    return holds
+        allocations.append([JOB_PREFIX + job, attempt, tasks, team, cpus, gpus, memory_gb, placed_us, stop_us, by])
+    return allocations
 
 
-def _follows(value: dict[str, Any], before: dict[str, Any]) -> bool:
-    """Return whether what rows point into is the same as it was, but for what was added at the end."""
+def _extends_tables(value: dict[str, Any], before: dict[str, Any]) -> bool:
+    """Return whether the tables equal those of `before` except for entries added at their ends."""
     if FORM not in before or value["since"] != before["since"]:
         return False
     return all(value[table][: len(before[table])] == before[table] for table in ("kinds", "images"))
 
 
 def size_of(value: dict[str, Any]) -> int:
-    """Return the bytes of a record in either form, as the state service counts them."""
+    """Return the size of a record in bytes, in either form, as the state service counts it."""
     return len(msgspec.json.encode(value))
--- a/ashtray/placement/group_edit.py
+++ b/ashtray/placement/group_edit.py
@@ -1,4 +1,4 @@
-"""Changes of a group's record on their way into a transaction."""
+"""Editing a group's record, and adding the result to a transaction."""
 
 from __future__ import annotations
 
@@ -16,37 +16,40 @@
 
 
 class GroupEdit:
-    """A group's record being changed: the machines that are asked for are copied, the others are shared."""
+    """A group's record that is being edited: requested machines are copied, the others are shared with the group."""
 
     def __init__(self, group: Group) -> None:
         self.group = group
         self.machines: dict[str, Any] = dict(group.value["machines"])
-        """By name, each machine's part of the record as it was read."""
+        """Each machine's part of the record as it was read, by machine name."""
         self.done: dict[str, str] = dict(group.value.get("done", {}))
-        """For each job its completed tasks, as runs."""
+        """The completed tasks of each job, as runs such as ``0-17,19``."""
         self._changed: dict[str, MachineRecord] = {}
 
     def machine(self, name: str) -> MachineRecord:
-        """Return a copy to be changed, the same one each time; a KeyError if the group has no such machine."""
+        """Return a machine's record for editing: each call returns the same copy.
+
+        Raises KeyError if the group has no machine of that name.
+        """
         if name not in self._changed:
             self._changed[name] = self.copy_of(name)
         return self._changed[name]
 
     def copy_of(self, name: str) -> MachineRecord:
-        """Return a copy that counts only once it is put back with `replace`."""
+        """Return a copy of a machine's record; changes of it count only after `replace`."""
         return msgspec.convert(self.machines[name], MachineRecord)
 
     def replace(self, name: str, record: MachineRecord) -> None:
-        """Put a machine's record in place of what the group has of it."""
+        """Replace a machine's record, or add the machine."""
         self._changed[name] = record
 
     def remove(self, name: str) -> None:
-        """Take a machine out of the group; a KeyError if it has none of that name."""
+        """Remove a machine from the group; raises KeyError if there is none of that name."""
         self._changed.pop(name, None)
         del self.machines[name]
 
     def with_done(self, job_id: str, tasks: set[int]) -> str:
-        """Return, as runs, the completed tasks that the record would keep of a job with these added."""
+        """Return the completed tasks of a job that the record would keep with `tasks` added, as runs."""
         return encode_runs(tasks | decode_runs(self.done.get(job_id, "")))
 
     def add_done(self, job_id: str, tasks: set[int]) -> None:
@@ -54,7 +57,7 @@
         self.done[job_id] = self.with_done(job_id, tasks)
 
     def size_with(self, name: str, record: MachineRecord, done: dict[str, str], limits: Limits) -> int:
-        """Return the bytes of the record if one more machine were changed, with `done` as the completed tasks."""
+        """Return the record's size in bytes if `record` replaced a machine's, and `done` the completed tasks."""
         edit = GroupEdit(self.group)
         edit.machines = dict(self.machines)
         edit.done = done
@@ -62,7 +65,7 @@
         return compact_record.size_of(edit._packed(edit.value(lambda job_id: True), limits))
 
     def value(self, live: Callable[[str], bool]) -> dict[str, Any]:
-        """Return the record in full form; completed tasks are kept for jobs that are still live."""
+        """Return the record in full form, without the completed tasks of jobs that are not `live` any more."""
         for name, record in self._changed.items():
             self.machines[name] = msgspec.to_builtins(record)
         value = {"type": self.group.type, "zone": self.group.zone, "machines": self.machines}
@@ -72,9 +75,10 @@
         return value
 
     def write(self, txn: Txn, limits: Limits, live: Callable[[str], bool]) -> bool:
-        """Add the changed record to a transaction, or its removal if nothing is left in it.
+        """Add the edited record to a transaction, or its removal if nothing is left in it.
 
-        Returns False, with the transaction as it was, if the record is too large or must not be written any more.
+        Returns False and leaves the transaction unchanged if the record is too large, or if it must not be written
+        any more because its machines are moving to other groups.
         """
         group = self.group
         value = self._packed(self.value(live), limits)
@@ -84,7 +88,7 @@
             return False
         txn.guard(group.key, group.version)
         if group.size > limits.value_bytes:
-            # Another controller may begin to split the group, which does not change its version (point 16).
+            # A peer may begin to split the group, which does not change the version of its record (point 16).
             txn.guard(split_key(group.key), 0)
         if value["machines"] or "done" in value:
             txn.put(group.key, value)
@@ -93,7 +97,7 @@
         return True
 
     def _packed(self, value: dict[str, Any], limits: Limits) -> dict[str, Any]:
-        """Return a record in the form in which it is to be written."""
+        """Return a record, given in full form, in the form in which it is to be written."""
         if limits.lean or self.group.packed is not None:
             return compact_record.pack(value, self.group.packed, self._changed)
         return value
--- a/ashtray/placement/group_index.py
+++ b/ashtray/placement/group_index.py
@@ -1,6 +1,6 @@
-"""Machines, allocations and completed tasks as the groups' records state them.
+"""An index of machines, allocations and completed tasks, built from the group records.
 
-A changed record is compared with the one before, and only what differs is brought up to date.
+A changed record is compared with its previous version, and only differences are applied to the index.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 
 class GroupIndex:
-    """All groups, with what is looked up across them; the tables are shared, and changed in place."""
+    """All groups, with tables across them; the tables are shared with `ClusterState` and changed in place."""
 
     def __init__(self, job_changed: Callable[[str], None]) -> None:
-        """`job_changed` is called with a job's id whenever its allocations or completed tasks have changed."""
+        """Start without groups; `job_changed` is called with a job's id when its allocations or done tasks change."""
         self.groups: dict[str, Group] = {}
         self.machines: dict[str, Machine] = {}
-        """By name; the one that changed last is the last."""
+        """Machines by name; the most recently changed one is the last."""
         self.allocations: dict[str, dict[AllocationKey, Allocation]] = {}
-        """For each job its allocations."""
+        """By job id, its allocations."""
         self.done: dict[str, dict[str, set[int]]] = {}
-        """For each job, and the key of each group that keeps some for it, the completed tasks."""
+        """By job id and group key, the completed tasks that the group's record keeps for the job."""
         self.moved: dict[str, tuple[str, str]] = {}
-        """For each group that is being split, up to which machine and which job's completed tasks it has been."""
+        """For each group that is being split, the last machine and the last job's completed tasks that have moved."""
         self.usage = TeamUsage()
         self._touched: set[str] = set()
-        """Machines whose record, or whose jobs, changed since `take_touched`."""
+        """Names of machines whose record, or whose jobs, changed since the last `take_touched`."""
         self._job_changed = job_changed
 
     def put_group(self, key: str, value: Any, version: int) -> Group:
-        """Take in a group's record, in full or in compact form, and return the group."""
+        """Apply a group record, in full or in compact form, and return the group."""
         before = self.groups.get(key)
         group = Group(key, value, version, before)
         group.moving = key in self.moved
@@ -54,9 +54,9 @@
         self._put_done(group, {}, {})
 
     def put_split(self, key: str, upto: tuple[str, str] | None) -> None:
-        """Take in how far the group of this key has been split; None: it is not being split.
+        """Apply how far the group with this key has been split, or None if it is not being split.
 
-        What its record says of machines that are in other groups by now no longer counts.
+        What its record says about machines that have moved to other groups no longer counts.
         """
         if upto is None:
             self.moved.pop(key, None)
@@ -64,24 +64,24 @@
             self.moved[key] = upto
         group = self.groups.get(key)
         if group is not None:
-            # This forgets the size of the compact form, which is of no more use: the record is not written again.
+            # This drops the size of the compact form.  It is not needed: the record is not written again.
             self.put_group(key, group.value, group.version)
 
     def touch_machines_of(self, job_id: str) -> None:
-        """Mark the machines that a job has allocations on as touched."""
+        """Mark the machines on which a job has allocations as touched."""
         for name, _ in self.allocations.get(job_id, ()):
             self._touched.add(name)
 
     def take_touched(self) -> list[str]:
-        """Return the machines touched since the last call, by name.
+        """Return the names of the machines touched since the last call.
 
-        Sorted, so that workers are told in an order that does not depend on how strings are hashed.
+        They are sorted, so that the order of messages to workers does not depend on string hashing.
         """
         touched, self._touched = self._touched, set()
         return sorted(touched)
 
     def _put_machines(self, group: Group, known: dict[str, Machine]) -> None:
-        """Fill in a group's machines; those whose part of the record is the same are taken over from `known`."""
+        """Fill in a group's machines; those whose part of the record is unchanged are reused from `known`."""
         moved_upto = self.moved[group.key][0] if group.moving else ""
         for name, raw in group.value["machines"].items():
             if name <= moved_upto:
@@ -97,49 +97,49 @@
                 self._drop_machine(machine)
 
     def _put_machine(self, machine: Machine, before: Machine | None) -> None:
-        """Show a machine; of jobs and teams only those change whose allocations differ from `before`."""
+        """Add or replace a machine; only jobs and teams whose allocations differ from `before` are updated."""
         name = machine.name
         if before is not None and self.machines.get(name) is before:
-            # The machine that changed last stands last.
+            # Keeps the most recently changed machine last.
             del self.machines[name]
         self.machines[name] = machine
         self._touched.add(name)
         known = before.holds if before is not None else []
-        for n, hold in enumerate(known):
-            self._drop_hold((name, n), hold)
-        for n, hold in enumerate(machine.holds):
-            self.allocations.setdefault(hold.job, {})[(name, n)] = hold
-        # Those that are the same on both sides are the same objects (`reuse_allocations`).
-        for hold in known:
-            if hold not in machine.holds:
-                self._note_hold(hold, -1)
-        for hold in machine.holds:
-            if hold not in known:
-                self._note_hold(hold, 1)
+        for n, allocation in enumerate(known):
+            self._drop_allocation((name, n), allocation)
+        for n, allocation in enumerate(machine.holds):
+            self.allocations.setdefault(allocation.job, {})[(name, n)] = allocation
+        # Unchanged allocations are the same objects in both versions (`reuse_allocations`).
+        for allocation in known:
+            if allocation not in machine.holds:
+                self._note_allocation(allocation, -1)
+        for allocation in machine.holds:
+            if allocation not in known:
+                self._note_allocation(allocation, 1)
 
     def _drop_machine(self, machine: Machine) -> None:
         if self.machines.get(machine.name) is machine:
             del self.machines[machine.name]
         self._touched.add(machine.name)
-        for n, hold in enumerate(machine.holds):
-            self._drop_hold((machine.name, n), hold)
-            self._note_hold(hold, -1)
-
-    def _drop_hold(self, key: AllocationKey, hold: Allocation) -> None:
-        """Take an allocation out of its job's, unless another one stands there by now."""
-        holds = self.allocations.get(hold.job)
-        if holds is not None and holds.get(key) is hold:
-            del holds[key]
-            if not holds:
-                del self.allocations[hold.job]
-
-    def _note_hold(self, hold: Allocation, sign: int) -> None:
-        """Add an allocation to its team's usage, or take it away with a `sign` of -1."""
-        self.usage.add(hold.record, sign * len(hold.tasks))
-        self._job_changed(hold.job)
+        for n, allocation in enumerate(machine.holds):
+            self._drop_allocation((machine.name, n), allocation)
+            self._note_allocation(allocation, -1)
+
+    def _drop_allocation(self, key: AllocationKey, allocation: Allocation) -> None:
+        """Remove an allocation from its job's, unless another one has its key by now."""
+        by_key = self.allocations.get(allocation.job)
+        if by_key is not None and by_key.get(key) is allocation:
+            del by_key[key]
+            if not by_key:
+                del self.allocations[allocation.job]
+
+    def _note_allocation(self, allocation: Allocation, sign: int) -> None:
+        """Add an allocation to its team's usage, or subtract it with a `sign` of -1."""
+        self.usage.add(allocation.record, sign * len(allocation.tasks))
+        self._job_changed(allocation.job)
 
     def _put_done(self, group: Group, runs: dict[str, str], known_runs: dict[str, str]) -> None:
-        """Bring a group's completed tasks up to date with `runs`; they were read from `known_runs` before."""
+        """Update a group's completed tasks from `known_runs`, the previous version of the record, to `runs`."""
         known, group.done = group.done, {}
         for job_id, text in runs.items():
             same = known_runs.get(job_id) == text and job_id in known
--- a/ashtray/placement/machine_health.py
+++ b/ashtray/placement/machine_health.py
@@ -1,4 +1,4 @@
-"""Judging from failed tasks whether a machine is faulty."""
+"""Scores from failed tasks that tell whether a machine is faulty."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from ashtray.placement.machine_groups import Machine
 
 SICK_BLAME = 3
-"""The blame from which on a machine is returned: two jobs, one of which at least works elsewhere, or three jobs."""
+"""A machine with at least this blame is returned: two failed jobs, one of which works elsewhere, or three."""
 FULL_BLAME = 2
-"""By a job that works elsewhere."""
+"""Blame by a failed job that works elsewhere."""
 HALF_BLAME = 1
-"""By a job that has not shown yet whether it works elsewhere."""
+"""Blame by a failed job of which it is not known yet whether it works elsewhere."""
 NO_BLAME = 0
 
 
@@ -23,7 +23,7 @@
     final_states: Mapping[str, Any],
     finished: Callable[[Job], set[int]],
 ) -> int:
-    """Return how much speaks for a fault of a machine: the sum over the jobs that failed on it.
+    """Return the blame of a machine: the sum over the jobs that failed on it.
 
     `jobs` are the live jobs and `final_states` the known records of those that are over, both by job id; `finished`
     returns the completed tasks of a live job.
@@ -39,9 +39,9 @@
 
 
 def blame_by_ended_job(final_state: Any) -> int:
-    """Return what a job that is over, and failed on a machine, says against it; None: its final state is not known.
+    """Return the blame by a job that failed on a machine and is over; `final_state` is None if it is not known.
 
-    One that its user cancelled says nothing.
+    A cancelled job puts no blame on a machine.
     """
     if final_state is None:
         return NO_BLAME
@@ -49,10 +49,10 @@
 
 
 def blame_by_live_job(job: Job, finished: Callable[[Job], set[int]]) -> int:
-    """Return what a live job that failed on a machine says against it.
+    """Return the blame by a live job that failed on a machine.
 
-    One that fails elsewhere too says nothing: a few jobs with a mistake in them would condemn every machine that
-    tries them.
+    A job that fails elsewhere too puts no blame on a machine: otherwise a few faulty jobs would have every machine
+    returned that runs them.
     """
     if not job.record.errors or finished(job):
         return FULL_BLAME
--- a/ashtray/placement/records.py
+++ b/ashtray/placement/records.py
@@ -1,7 +1,7 @@
-"""Typed records of machines and of what is placed on them, as the state service keeps them.
+"""Typed records of machines and of the allocations on them, as the state service stores them.
 
 Fields may be added with a default, but not renamed, moved or removed: controllers of an older version read the same
-records.  `compact_record` writes a `GroupRecord` in fewer bytes.
+records.  `compact_record` encodes a `GroupRecord` in fewer bytes.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 AMOUNT_TOLERANCE = 1e-6
 """Tolerance, in CPUs, GPUs or GB, when sums of amounts are compared."""
 UNBOUNDED_TASKS = 1_000_000
-"""How many tasks fit where they need nothing."""
+"""How many tasks fit on a machine if they need no resources."""
 
 
 class AllocationRecord(msgspec.Struct, array_like=True):
-    """An allocation: the room that some tasks of one attempt of a job take on a machine."""
+    """An allocation: the resources of a machine taken by tasks of one attempt of a job."""
 
     job: str
     attempt: int
@@ -23,44 +23,44 @@
     """The task numbers as runs, such as ``0-17,19``."""
     team: str
     cpus: float
-    """Of one task, like the two amounts that follow."""
+    """Needed by each task, like `gpus` and `memory_gb`."""
     gpus: float
     memory_gb: float
     placed_us: int
-    """When it was placed, by the time of day in microseconds."""
+    """When the tasks were placed: the time of day in microseconds."""
     stop_us: int = -1
-    """The time that the tasks get to save before they are stopped, in microseconds; -1: they are not to stop."""
+    """How long the tasks may checkpoint before they are stopped, in microseconds; -1 if they are not to stop."""
     by: str = ""
-    """The controller that placed it: the allocation counts on its share of the team's limit."""
+    """The controller that placed the tasks, and whose share of the team's limit they use."""
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
     """A machine of a group, with its allocations."""
 
     address: str
-    """Host and port of its worker."""
+    """Host and port of the worker."""
     spot: bool = False
     retiring: bool = False
     """Whether it is draining: nothing is placed on it any more."""
     token: int = 0
-    """The ownership token under which its worker takes orders at present."""
+    """The ownership token that the worker's orders must carry now."""
     failed: list[str] = []
-    """Jobs with tasks that failed here since one of their tasks last completed here."""
+    """Ids of jobs with tasks that failed here since one of their tasks last completed here."""
     images: list[tuple[str, float]] = []
-    """The cached images and their sizes in GB."""
+    """The names of the cached images and their sizes in GB."""
     holds: list[AllocationRecord] = []
 
 
 class GroupRecord(msgspec.Struct, omit_defaults=True):
-    """Machines of one type and zone that share a record, by name."""
+    """A group: machines of one type and zone that share a record, by machine name."""
 
     type: str
     zone: str
     machines: dict[str, MachineRecord]
     done: dict[str, str] = {}
-    """For each live array the tasks, as runs, that completed here and are not in the job's own record yet.
+    """By id of a live array, the tasks, as runs, that completed here and are not in the job's own record yet.
 
-    So the end of tasks of many jobs changes this one record, not one more for each of these jobs.
+    So when tasks of many jobs end, only this record is written, not also one for each job.
     """
 
 
@@ -72,14 +72,14 @@
     gpus: float
     memory_gb: float
     cache_gb: float
-    """Room for images."""
+    """Space for images, in GB."""
     fetch_gb_per_s: float
-    """How fast images are fetched."""
+    """How fast images are fetched, in GB per second."""
     price: float
-    """Of a machine on demand; `spot_price` is that of a spot machine."""
+    """The price of an on-demand machine; `spot_price` is that of a spot machine."""
     spot_price: float
     boot_us: int
-    """How long a machine takes to start, in microseconds, as the cloud states it."""
+    """How long a machine takes to boot, in microseconds, as stated by the cloud."""
     zones: tuple[str, ...]
 
     def fits(self, cpus: float, gpus: float, memory_gb: float) -> int:
--- a/ashtray/placement/team_usage.py
+++ b/ashtray/placement/team_usage.py
@@ -1,24 +1,24 @@
-"""Accounting of the CPUs and GPUs that teams hold, in all and by the controller that placed them."""
+"""Accounting of the CPUs and GPUs that teams use, in total and by the controller that placed the tasks."""
 
 from __future__ import annotations
 
 from ashtray.placement.records import AllocationRecord
 
 MICRO = 1_000_000
-"""Sums are kept in whole millionths, so that what is added and taken away again leaves exactly nothing."""
+"""Sums are kept in integer millionths: adding and subtracting the same amounts then leaves exactly zero."""
 NO_USAGE = (0, 0)
 
 
 class TeamUsage:
-    """Sums over all allocations that are shown, those of tasks that still end included."""
+    """Sums over all allocations in the cluster state, including those of ending tasks."""
 
     def __init__(self) -> None:
         self._by_team: dict[str, tuple[int, int]] = {}
         self._by_controller: dict[tuple[str, str], tuple[int, int]] = {}
-        """By team and placing controller."""
+        """Millionths of CPUs and GPUs, by team and placing controller."""
 
     def add(self, record: AllocationRecord, tasks: int) -> None:
-        """Add an allocation of so many tasks; a negative number takes one away."""
+        """Add an allocation of `tasks` tasks, or subtract it if `tasks` is negative."""
         cpus = tasks * round(record.cpus * MICRO)
         gpus = tasks * round(record.gpus * MICRO)
         key = (record.team, record.by)
@@ -28,7 +28,7 @@
         self._by_controller[key] = (held_cpus + cpus, held_gpus + gpus)
 
     def of(self, team: str, by: str | None = None) -> tuple[float, float]:
-        """Return the CPUs and GPUs that a team holds; with `by`, only what that controller placed."""
+        """Return the CPUs and GPUs that a team uses; with `by`, only what that controller placed."""
         if by is None:
             cpus, gpus = self._by_team.get(team, NO_USAGE)
         else:
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -216,7 +216,7 @@
     ) -> Txn | None:
         """Return a transaction that makes room in this controller's share for `count` more tasks, or None.
 
-        It raises the controller's share by what is in nobody's share, and lowers peers' shares by what they cannot use.
+        It raises this controller's share by what is in nobody's share, and lowers peers' by what they cannot use.
         `demands` is what `wants` returned, `turn` the job's turn.
 
         A peer may still use what its lowered share no longer includes, until it reads the change.  So this controller
@@ -340,7 +340,7 @@
         return within >= (count if spec.kind == "gang" else allowed_now + 1)
 
     def _fair_share(self, team: Team, used: Mapping[str, Share], demands: Mapping[str, Demand]) -> Share:
-        """Return this controller's part of the limit, in proportion to its tasks' usage and its waiting tasks' needs."""
+        """Return this controller's part of the limit, in proportion to what its running and waiting tasks need."""
         fair = []
         for n, limit in enumerate((team.cpus_max, team.gpus_max)):
             mine = used[self.host][n] + _amount(demands.get(self.host, NO_DEMAND), n)
--- a/tests/mutants/cached.py
+++ b/tests/mutants/cached.py
@@ -6,7 +6,11 @@
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "leaving-tasks-kept-for-ever": (TASK_INDEX, "        self._leaving_stale.add(job_id)\n", ""),
-    "equal-holds-counted-once": (MACHINE_GROUPS, "                remaining.remove(hold)\n", ""),
-    "new-holds-not-counted": (GROUP_INDEX, "                self._note_hold(hold, 1)\n", "                pass\n"),
+    "equal-holds-counted-once": (MACHINE_GROUPS, "                remaining.remove(allocation)\n", ""),
+    "new-holds-not-counted": (
+        GROUP_INDEX,
+        "                self._note_allocation(allocation, 1)\n",
+        "                pass\n",
+    ),
     "rooms-of-other-blame-judged-alike": (RULES, "            room.blame,\n", ""),
 }
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -191,7 +191,7 @@
     ),
     "rows-of-other-tables": (
         "ashtray/placement/compact_record.py",
-        "if before is not None and known is not None and _follows(value, before):",
+        "if before is not None and known is not None and _extends_tables(value, before):",
         "if before is not None and known is not None and FORM in before:",
     ),
     "changed-rows-kept": (
@@ -249,8 +249,8 @@
     "accept-without-look": ("ashtray/jobs/accepting.py", ".guard(OVER + job.job_id, 0).put(", ".put("),
     "stopped-holds-hide": (
         GROUP_INDEX,
-        "self.allocations.setdefault(hold.job, {})[(name, n)] = hold",
-        "self.allocations.setdefault(hold.job, {})[(name, hold.attempt)] = hold",
+        "self.allocations.setdefault(allocation.job, {})[(name, n)] = allocation",
+        "self.allocations.setdefault(allocation.job, {})[(name, allocation.attempt)] = allocation",
     ),
     "silence-while-halted": (
         INVENTORY,
@@ -320,7 +320,7 @@
     "late-change-comes-back": (FOLLOWER, "        if version <= self.revision:\n            return\n", ""),
     "removed-comes-back": (
         CLUSTER_STATE,
-        "        if version > self.upto:\n            self._gone[key] = version\n",
+        "        if version > self.upto:\n            self._removed_at[key] = version\n",
         "",
     ),
     "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, cluster_state.version(lock))", "pass"),
