--- a/tests/mutants/ownership.py
+++ b/tests/mutants/ownership.py
@@ -49,7 +49,7 @@
         "tests/test_meetings_limits.py::test_limits_hold_while_cancelled_tasks_are_out_of_reach_and_the_leader_changes"
     ],
     "small-rest-is-kept": [
-        "tests/test_grants.py::test_a_rest_too_small_for_any_task_of_its_holder_is_taken_where_it_makes_room"
+        "tests/test_grants.py::test_a_rest_too_small_for_any_task_of_its_controller_is_taken_if_another_task_then_fits"
     ],
     "silent-within-its-lease": [
         "tests/test_meetings_leaders.py::test_machines_that_are_back_within_their_lease_are_kept_by_the_heir"
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -361,25 +361,27 @@
     "team-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
     "share-taken-at-once": ["tests/test_grants.py"],
     "shares-on-an-unread-cluster-state": [
-        "tests/test_grants.py::test_two_changes_of_the_shares_need_a_look_between_them"
+        "tests/test_grants.py::test_two_changes_of_the_shares_need_a_read_between_them"
     ],
     "placing-without-a-fence": ["tests/test_grants.py::test_nothing_is_placed_before_the_fence_nor_after_a_doubt"],
     "old-fence-counts": ["tests/test_grants.py::test_one_fence_serves_all_controllers_that_start_together"],
-    "fence-not-followed": ["tests/test_grants.py::test_a_fence_counts_once_the_picture_is_read_up_to_it"],
+    "fence-not-followed": ["tests/test_grants.py::test_a_fence_counts_once_the_cluster_state_is_read_up_to_it"],
     "nothing-ages": ["tests/test_order.py"],
     "bands-across-teams": ["tests/test_order.py"],
     "least-room-never-ages": ["tests/test_order.py"],
     "largest-do-not-begin": [
         "tests/test_addition.py::test_the_largest_begins_on_one_machine_and_leaves_the_room_to_the_others"
     ],
-    "claims-not-guarded": ["tests/test_guarantees.py::test_two_that_decide_at_once_do_not_stop_the_same_excess"],
+    "claims-not-guarded": [
+        "tests/test_guarantees.py::test_two_controllers_that_decide_at_once_do_not_stop_the_same_excess"
+    ],
     "excess-not-counted": ["tests/test_guarantees.py::test_a_team_is_not_taken_below_its_guarantee"],
     "stopping-counts-as-used": ["tests/test_guarantees.py"],
     "stopped-at-the-limit": [
         "tests/test_guarantees.py::test_nothing_is_stopped_for_a_job_that_waits_for_its_teams_limit"
     ],
     "excess-of-the-plan": [
-        "tests/test_guarantees.py::test_what_ended_by_itself_since_the_plan_is_counted_at_the_commit"
+        "tests/test_guarantees.py::test_a_task_that_ended_after_the_plan_lowers_the_excess_at_the_commit"
     ],
     "rented-without-a-record": ["tests/test_standby.py::test_a_runner_that_ends_at_any_point_rents_nothing_twice"],
     "heir-does-not-ask-again": ["tests/test_standby.py::test_a_runner_that_ends_at_any_point_rents_nothing_twice"],
@@ -409,11 +411,9 @@
         "tests/test_budget.py::test_a_job_sent_again_to_another_controller_costs_no_change"
     ],
     "a-lease-for-each-try": ["tests/test_returns.py::test_a_sign_in_that_fails_opens_no_new_lease_each_time"],
-    "rows-of-other-tables": [
-        "tests/test_formats.py::test_a_row_that_looks_the_same_is_read_anew_when_what_it_points_into_is_not"
-    ],
+    "rows-of-other-tables": ["tests/test_formats.py::test_an_unchanged_row_is_decoded_again_when_the_tables_changed"],
     "changed-rows-kept": [
-        "tests/test_formats.py::test_a_lean_record_that_is_written_and_read_by_what_changed_says_the_same"
+        "tests/test_formats.py::test_a_compact_record_that_is_written_and_read_incrementally_keeps_all_values"
     ],
     "tables-grow-for-ever": ["tests/test_record_tables.py"],
     "an-address-in-use-ends-it": ["tests/test_returns.py::test_an_address_that_is_still_in_use_is_waited_for"],
@@ -475,9 +475,9 @@
     "size-not-checked": ["tests/test_guards.py::test_a_record_over_its_share_of_the_limit_is_not_written"],
     "moved-machines-count": ["tests/test_limits.py::test_while_a_group_is_being_split_its_moved_machines_count_once"],
     "split-not-marked": [
-        "tests/test_limits.py::test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_a_hold"
+        "tests/test_limits.py::test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_an_allocation"
     ],
-    "record-grows-for-ever": ["tests/test_limits.py::test_a_record_in_fragments_keeps_the_longest_runs"],
+    "record-grows-for-ever": ["tests/test_limits.py::test_a_record_too_small_for_all_runs_keeps_the_longest"],
     "own-change-counts-as-read": [
         "tests/test_pipelines.py::test_a_fold_after_a_cancellation_that_was_not_read_yet_makes_nothing_done"
     ],
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""The tables of the cluster state: equal allocations, usage of teams, and what failed tasks say of a machine."""
+"""The tables of the cluster state: equal allocations, usage of teams, the blame of machines, unplaced tasks."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return msgspec.to_builtins(GroupRecord("small", "a", {"vm": machine}))
 
 
-def test_known_allocations_are_taken_over_each_once():
+def test_known_allocations_are_reused_once_each():
     known = [Allocation(hold()), Allocation(hold("3"))]
     holds = reuse_allocations([hold("3"), hold(), hold()], known)
     assert holds[0] is known[1] and holds[1] is known[0]
@@ -46,7 +46,7 @@
     assert index.usage.of("crew") == index.usage.of("crew", "h0") == (3 * 1.5 * after, 3 * 0.5 * after)
 
 
-def test_what_is_added_to_a_teams_usage_and_taken_away_leaves_nothing():
+def test_adding_and_subtracting_the_same_amounts_leaves_a_teams_usage_at_zero():
     usage = TeamUsage()
     amounts = [0.1 * n for n in range(1, 40)]
     for sign in (1, -1):
@@ -99,7 +99,7 @@
         ("gang", 1, 0, set(), set(range(10)), []),
     ],
 )
-def test_tasks_are_placed_that_have_no_place_and_are_not_done(
+def test_the_tasks_to_place_are_those_neither_placed_nor_done(
     kind: str, attempt: int, portion: int, placed: set[int], finished: set[int], unplaced: list[int]
 ):
     spec = msgspec.structs.replace(SPEC, kind=kind)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""Formats: runs of task numbers, submissions, reports, settings."""
+"""Formats: runs of task numbers, submissions, reports, settings, compact group records."""
 
 import math
 from pathlib import Path
@@ -61,7 +61,7 @@
 
 
 @given(st.sets(st.integers(0, 99_999), max_size=200))
-def test_runs_come_back(numbers):
+def test_runs_are_decoded_as_they_were_encoded(numbers):
     assert decode_runs(encode_runs(numbers)) == numbers
 
 
@@ -164,7 +164,7 @@
     settings = load_settings(str(file))
     assert settings.cluster.workers.lease_s == 18.0
     limits = Limits.of(settings.cluster.state)
-    # What is to come holds only once nobody of the version before is about.
+    # The next limits apply only once no controller of the previous version is running.
     assert (limits.ops, limits.value_bytes, limits.fall) == (16, 32 * 1024, True)
     limits.lower()
     assert (limits.ops, limits.value_bytes, limits.guards, limits.fall) == (5, 2048, 20, False)
@@ -241,7 +241,7 @@
 
 
 @given(STEPS)
-def test_a_lean_record_that_is_written_and_read_by_what_changed_says_the_same(steps) -> None:
+def test_a_compact_record_that_is_written_and_read_incrementally_keeps_all_values(steps) -> None:
     cluster_state, limits = ClusterState(), Limits(16, 60_000, 32_768, alike=True)
     key = GROUP + "g"
     first = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1")})
@@ -257,7 +257,7 @@
         assert edit.write(txn, limits, lambda job: True)
         sent = msgspec.msgpack.decode(msgspec.msgpack.encode(txn.puts[key]))
         cluster_state.put(key, sent, version)
-        # As one reads it that has never seen this group, and as one that has followed it.
+        # Read by a controller that has not seen this group before, and by one that has followed it.
         fresh = ClusterState()
         fresh.put(key, sent, version)
         for name, machine in fresh.groups[key].machines.items():
@@ -273,7 +273,7 @@
         )
 
 
-def test_a_row_that_looks_the_same_is_read_anew_when_what_it_points_into_is_not() -> None:
+def test_an_unchanged_row_is_decoded_again_when_the_tables_changed() -> None:
     cluster_state, key = ClusterState(), GROUP + "g"
     for version, image in enumerate(("img-a", "img-b"), 1):
         record = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1", images=[(image, 1.0)])})
@@ -291,7 +291,7 @@
         ("ram_mb = 138", "ram_mb = 40", ["ram_mb: 40"]),
     ],
 )
-def test_a_quota_that_is_not_wise_is_a_warning_and_no_error(tmp_path: Path, old: str, new: str, named: list[str]):
+def test_an_unwise_quota_is_a_warning_and_no_error(tmp_path: Path, old: str, new: str, named: list[str]):
     file = tmp_path / "s.toml"
     file.write_text(SETTINGS.replace(old, new) if old else SETTINGS)
     found = warnings(load_settings(str(file)))
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Teams' limits shared out between controllers: what they use together never exceeds the limit."""
+"""Shares of teams' limits: what the controllers use together never exceeds the limit."""
 
 from typing import Any
 
@@ -21,8 +21,8 @@
 GANG = JobSpec("any", "crew", "gang", 2, 12, 2.0, 0.0, 1.0, "img", 1.0)
 
 
-class Host:
-    """A controller's view: its cluster state, as late as it was last brought up to date, and its grants."""
+class Controller:
+    """A controller: its cluster state as of the last `sync`, and its grants."""
 
     def __init__(self, name: str, state: State) -> None:
         self.name = name
@@ -91,16 +91,16 @@
 OP = st.tuples(st.sampled_from(NAMES), st.integers(0, 2), st.integers(0, 2), st.integers(1, 12), st.booleans())
 
 
-# Without shrinking: with it, a failure takes minutes.
+# No shrinking: it would take minutes after a failure.
 @settings(max_examples=200, phases=[Phase.explicit, Phase.generate])
 @given(st.lists(OP, min_size=40, max_size=80))
 def test_controllers_together_stay_within_a_teams_limit(ops: list[tuple[str, int, int, int, bool]]) -> None:
     state = State()
-    hosts = [Host(name, state) for name in HOSTS]
+    hosts = [Controller(name, state) for name in HOSTS]
     for host in hosts:
         host.sync()
         host.fence()
-    on_their_way: list[Any] = []
+    unanswered: list[Any] = []
     for op, n, slot, count, late in ops:
         host = hosts[n]
         if not late:
@@ -110,28 +110,29 @@
         elif op == "lost":
             txn = host.placement(slot, count)
             if txn is not None:
-                on_their_way.append(decoded(txn))
+                unanswered.append(decoded(txn))
                 host.grants.doubt(["crew"])
-        elif op == "arrive" and on_their_way:
-            # A transaction that got no answer is applied after all, as late as it likes.
-            state.handle(0, "POST", "/txn", on_their_way.pop(count % len(on_their_way)))
+        elif op == "arrive" and unanswered:
+            # A transaction that got no answer is applied after all, after any delay.
+            state.handle(0, "POST", "/txn", unanswered.pop(count % len(unanswered)))
         elif op == "fence":
             host.fence()
         elif op == "share":
-            # Who has gone, or is taken to have, gives up all; who has tasks waiting gives up nothing unasked.
+            # A controller missing in `wants` counts as gone: all its share may be taken.  One with waiting tasks
+            # gives up what these could use only to a job that may ask for it.
             wants = dict.fromkeys(HOSTS[slot % 2 :], Demand(2.0 * count * (slot == 1)))
             host.send(host.grants.reshare("crew", SPEC, count, wants, 3 * slot + n, slot < 2))
         elif op == "free":
             host.free(slot)
         elif op == "restart":
-            hosts[n] = Host(host.name, state)
+            hosts[n] = Controller(host.name, state)
             hosts[n].sync()
         assert used(state) <= LIMIT + 1e-6
 
 
 def test_one_controller_gets_the_whole_limit_when_nobody_else_uses_it() -> None:
     state = State()
-    hosts = [Host(name, state) for name in HOSTS]
+    hosts = [Controller(name, state) for name in HOSTS]
     for host in hosts:
         host.sync()
         host.fence()
@@ -143,17 +144,18 @@
     assert hosts[0].grants.allowed("crew", GANG) == GANG.tasks
 
 
-def settled() -> tuple[State, list[Host]]:
+def settled() -> tuple[State, list[Controller]]:
     state = State()
-    hosts = [Host(name, state) for name in HOSTS]
+    hosts = [Controller(name, state) for name in HOSTS]
     for host in hosts:
         host.sync()
         host.fence()
     return state, hosts
 
 
-def test_two_changes_of_the_shares_need_a_look_between_them() -> None:
-    # Found by the exhaustive model: on its own change alone, what another had placed before it was taken for free.
+def test_two_changes_of_the_shares_need_a_read_between_them() -> None:
+    # Otherwise a controller that has only its own change in its cluster state counts what a peer placed before that
+    # change as free.
     state, hosts = settled()
     for host in hosts:
         host.sync()
@@ -167,12 +169,12 @@
     assert used(state) <= LIMIT
 
 
-def test_what_a_dead_one_leaves_is_used_again_without_more_asking() -> None:
+def test_a_dead_controllers_share_is_used_by_peers_once_its_tasks_end() -> None:
     state, hosts = settled()
     assert hosts[2].send(hosts[2].placement(0, 4))
     hosts[0].sync()
     wants = {"h0": Demand(20.0), "h1": Demand(20.0)}
-    # It dies with its share in full use: nothing is left of it but what its tasks hold.
+    # It dies while its tasks use its whole share.
     assert hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 10, wants)) is False
     hosts[2].free(0)
     hosts[0].sync()
@@ -183,12 +185,12 @@
     assert hosts[0].grants.allowed("crew", SPEC) == 8
 
 
-def test_what_others_have_use_for_is_not_moved_to_and_fro() -> None:
+def test_what_peers_have_use_for_is_not_moved_back_and_forth() -> None:
     state, hosts = settled()
     for host in hosts:
         host.sync()
         host.send(host.placement(0, 4))
-    # A task of each has ended.
+    # One task of each controller ends.
     for host in hosts:
         host.sync()
         host.free(0)
@@ -200,12 +202,12 @@
             host.sync()
             host.send(host.grants.reshare("crew", SPEC, 10, wants))
     assert state.revision == before
-    # What is urgent asks for what is not in use all the same.
+    # An urgent job gets what is unused nevertheless.
     assert hosts[0].send(hosts[0].grants.reshare("crew", SPEC, 10, wants, 0, True))
 
 
 def test_two_gangs_that_collect_do_not_take_from_each_other() -> None:
-    # Each needs the whole limit: the one that goes first in the queue gets it, whoever asks more often.
+    # Each needs the whole limit: the first one in the queue gets it, even if the other one asks more often.
     state, hosts = settled()
     turns = {"h0": 5, "h1": 9}
     wants = {host: Demand(24.0, 0.0, turns.get(host, LAST_TURN)) for host in HOSTS}
@@ -219,7 +221,7 @@
     assert hosts[0].grants.allowed("crew", GANG) == GANG.tasks
 
 
-def test_one_with_nothing_gets_its_part_though_all_have_work_waiting() -> None:
+def test_a_controller_with_a_share_of_zero_gets_its_part_though_all_have_work_waiting() -> None:
     state, hosts = settled()
     txn = Txn().guard(TEAM + "crew", hosts[0].cluster_state.version(TEAM + "crew"))
     txn.put(TEAM + "crew", {"h0": (0.0, 0.0), "h1": (12.0, 0.0), "h2": (12.0, 0.0)})
@@ -235,7 +237,7 @@
 
 def test_nothing_is_placed_before_the_fence_nor_after_a_doubt() -> None:
     state = State()
-    host = Host("h0", state)
+    host = Controller("h0", state)
     host.sync()
     assert host.grants.allowed("crew", SPEC) == 0
     host.fence()
@@ -246,23 +248,23 @@
 
 def test_one_fence_serves_all_controllers_that_start_together() -> None:
     state = State()
-    hosts = [Host(name, state) for name in HOSTS]
+    hosts = [Controller(name, state) for name in HOSTS]
     hosts[0].fence()
     assert not hosts[1].grants.ready("crew")
     hosts[1].sync()
     assert hosts[1].grants.fence(["crew"]) is None
     assert hosts[1].grants.allowed("crew", SPEC) == 4
-    # One that starts after it needs another: its predecessor may have guarded that version.
-    late = Host("h2", state)
+    # A controller that starts after the fence needs another one: its predecessor may have guarded that version.
+    late = Controller("h2", state)
     late.sync()
     assert late.grants.allowed("crew", SPEC) == 0
 
 
-def test_a_fence_counts_once_the_picture_is_read_up_to_it() -> None:
-    # A change of the shares by this controller is in its cluster state at once; what others placed before it need
-    # not be.
+def test_a_fence_counts_once_the_cluster_state_is_read_up_to_it() -> None:
+    # A change of the shares by this controller is in its cluster state at once; what peers placed before it may still
+    # be missing.
     state = State()
-    host = Host("h0", state)
+    host = Controller("h0", state)
     host.sync()
     host.send(host.grants.fence(["crew"]))
     host.grants.seen(host.revision)
@@ -271,8 +273,8 @@
     assert host.grants.ready("crew")
 
 
-def test_a_rest_too_small_for_any_task_of_its_holder_is_taken_where_it_makes_room() -> None:
-    # Found with a limit that binds: shares by need were 4.9 and 5.1 CPUs for tasks of 2, and 2 stood idle for ever.
+def test_a_rest_too_small_for_any_task_of_its_controller_is_taken_if_another_task_then_fits() -> None:
+    # With shares of 4.9 and 5.1 CPUs for tasks of 2, 2 CPUs of the limit would never be used.
     state, hosts = settled()
     txn = Txn().guard(TEAM + "crew", hosts[0].cluster_state.version(TEAM + "crew"))
     txn.put(TEAM + "crew", {"h0": (14.0, 0.0), "h1": (4.9, 0.0), "h2": (5.1, 0.0)})
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -1,4 +1,4 @@
-"""Guarantees by amount, and controllers that stop work for them at once."""
+"""Guarantees as amounts, and controllers that preempt work for them at the same time."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class World:
-    """The state service with some machines full of work, and cluster_states of it."""
+    """The state service with some machines full of work, from which cluster states are read."""
 
     def __init__(self, holds: dict[str, list[AllocationRecord]], cpus: float) -> None:
         self.state = State()
@@ -67,7 +67,7 @@
         return cluster_state
 
     def stopping(self, cluster_state: ClusterState, job_id: str, count: int, by: str = "berth-0") -> Txn | None:
-        """What one controller would commit on its cluster state to make room for so many tasks of a job."""
+        """Return what a controller would commit on its cluster state to free resources for `count` tasks of a job."""
         _, inside = queue(cluster_state, TEAMS)
         plan = Plan(cluster_state, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
         job = cluster_state.jobs[job_id]
@@ -88,8 +88,8 @@
     return AllocationRecord(job, 1, encode_runs(tasks), team, cpus, 0.0, 0.0, 0)
 
 
-def probe(machines: int = 1) -> World:
-    """Team b: guarantee 4 CPUs, one array of 8 of which 5 run; team a: guarantee 10, jobs wait."""
+def team_beyond_guarantee(machines: int = 1) -> World:
+    """Team b has a guarantee of 4 CPUs and an array of 8 tasks of which 5 run; team a has a guarantee of 10."""
     each = -(-5 // machines)
     holds = {f"vm-{n}": [hold("job-1", set(range(n * each, min((n + 1) * each, 5))), "b")] for n in range(machines)}
     world = World(holds, float(each))
@@ -98,20 +98,20 @@
 
 
 def test_a_team_is_not_taken_below_its_guarantee() -> None:
-    world = probe()
+    world = team_beyond_guarantee()
     world.put({LIVE + "job-2": job_record("a", 5)})
     cluster_state = world.cluster_state()
     assert world.stopping(cluster_state, "job-2", 5) is None
     txn = world.stopping(cluster_state, "job-2", 1)
     assert txn is not None and world.apply(txn)
     assert stopped(world.cluster_state(), "b") == 1.0
-    # It has nothing beyond its guarantee now, though what was stopped still holds its room.
+    # Team b runs nothing beyond its guarantee now, though the stopped task still has its allocation.
     assert world.stopping(world.cluster_state(), "job-2", 1) is None
 
 
-def test_two_that_decide_at_once_do_not_stop_the_same_excess() -> None:
-    world = probe(machines=5)
-    # On different machines: nothing else that they write would conflict.
+def test_two_controllers_that_decide_at_once_do_not_stop_the_same_excess() -> None:
+    world = team_beyond_guarantee(machines=5)
+    # The victims are on different machines, so nothing but the claim conflicts.
     world.put({LIVE + "job-2": job_record("a", 1, zone="y"), LIVE + "job-3": job_record("a", 1, zone="z")})
     cluster_states = world.cluster_state(), world.cluster_state()
     first = world.stopping(cluster_states[0], "job-2", 1, "berth-0")
@@ -122,8 +122,8 @@
     assert stopped(world.cluster_state(), "b") == 1.0
 
 
-def test_what_ended_by_itself_since_the_plan_is_counted_at_the_commit() -> None:
-    world = probe()
+def test_a_task_that_ended_after_the_plan_lowers_the_excess_at_the_commit() -> None:
+    world = team_beyond_guarantee()
     world.put({LIVE + "job-2": job_record("a", 1)})
     cluster_state = world.cluster_state()
     _, inside = queue(cluster_state, TEAMS)
@@ -137,14 +137,14 @@
     assert stop_for(later, TEAMS, inside, later.jobs["job-2"], victims, LIMITS, "berth-0", 10**9) is None
 
 
-def test_lower_priority_is_no_matter_of_guarantees() -> None:
-    world = probe()
+def test_stopping_a_lower_priority_needs_no_claim() -> None:
+    world = team_beyond_guarantee()
     world.put({LIVE + "job-2": job_record("c", 5, priority=1)})
     txn = world.stopping(world.cluster_state(), "job-2", 5)
     assert txn is not None and not any(key.startswith(CLAIM) for key in txn.puts)
 
 
-def test_a_team_without_a_guarantee_gives_all_that_it_runs() -> None:
+def test_all_tasks_of_a_team_without_a_guarantee_may_be_stopped() -> None:
     world = World({"vm-0": [hold("job-1", {0, 1, 2}, "c")]}, 3.0)
     world.put({LIVE + "job-1": job_record("c", 3), LIVE + "job-2": job_record("a", 3)})
     txn = world.stopping(world.cluster_state(), "job-2", 3)
@@ -153,7 +153,7 @@
 
 
 def test_nothing_is_stopped_for_a_job_that_waits_for_its_teams_limit() -> None:
-    # Found on a day with a binding limit: urgent gangs stopped hundreds of tasks for room that they could not use.
+    # Otherwise urgent gangs at a binding limit stop hundreds of tasks for resources that they may not use.
     model = Model(31)
     model.cloud.capacity = 8
     model._run_us = lambda key: 900 * SECOND  # type: ignore[method-assign]
@@ -179,7 +179,7 @@
 def test_no_order_of_deciding_and_applying_takes_more_than_the_excess(
     uses: list[tuple[str, int, int]], asks: list[tuple[str, int, bool]], rng: random.Random
 ) -> None:
-    """Several decide on cluster_states of different age; each commits at once, late, twice, or never."""
+    """Controllers decide on cluster states of different age; each commits at once, late, twice, or never."""
     holds: dict[str, list[AllocationRecord]] = {}
     values: dict[str, Any] = {}
     for n, (team, tasks, cpus) in enumerate(uses):
@@ -212,8 +212,8 @@
 
 
 @pytest.mark.parametrize("machines", [100, 1_000])
-def test_a_full_fleet_is_looked_at_only_where_something_may_be_stopped(machines: int, monkeypatch: Any) -> None:
-    # Found by sampling a simulated day: a seventh of a controller's time went into looking at every machine's tasks.
+def test_a_full_fleet_is_scanned_only_where_something_may_be_stopped(machines: int, monkeypatch: Any) -> None:
+    # Scanning the tasks of every machine took a seventh of a controller's time.
     holds = {f"vm-{n:04}": [hold(f"job-{n % 2}", {n}, "b", 4.0)] for n in range(machines)}
     holds["vm-0007"] = [hold("job-9", {0, 1}, "b", 2.0)]
     world = World(holds, 4.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Records and transactions under limits that fall: nothing may be too large to be written, split or ended."""
+"""Records and transactions when the limits are lowered: none may be too large to be written, split or removed."""
 
 import random
 
@@ -51,7 +51,7 @@
     st.dictionaries(st.integers(0, 999).map("vm-{:06}".format), MACHINE, max_size=8),
     st.dictionaries(st.integers(0, 99).map("job-{}".format), st.just("0-3,7"), max_size=3),
 )
-def test_the_lean_form_says_the_same(machines, done):
+def test_the_compact_form_keeps_all_values(machines, done):
     whole = msgspec.to_builtins(GroupRecord("small", "a", machines, done))
     packed = msgspec.json.decode(msgspec.json.encode(compact_record.pack(whole)))
     again = compact_record.unpack(packed)
@@ -60,7 +60,7 @@
 
 
 def full_group(machines: int, holds: int) -> tuple[dict, dict]:
-    """A group as the version before leaves it, and the jobs that it names."""
+    """Return a group record as the previous version writes it, and the records of the jobs in it."""
     jobs, record = {}, GroupRecord("small", "a", {})
     for n in range(machines):
         machine = record.machines[f"vm-{n:06}"] = MachineRecord(f"10.1.0.{n}:9000", token=n + 1)
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize(("machines", "holds"), [(60, 4), (20, 14), (220, 0)])
 @pytest.mark.parametrize("crash", [None, 0.4, 0.9])
-def test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_a_hold(machines, holds, crash):
+def test_a_group_full_to_32_kib_is_split_under_the_lower_limits_without_losing_an_allocation(machines, holds, crash):
     group, jobs = full_group(machines, holds)
     assert 16 * 1024 < compact_record.size_of(group) < 32 * 1024
     model = Model(3, following=(2.0, 5))
@@ -91,7 +91,7 @@
         model.state.keys[LIVE + job] = (value, 4, None)
     model.state.revision = 6
     if crash is not None:
-        # Whoever was at it is gone in the middle: another one goes on.
+        # The controller that splits the group may crash in the middle; another one continues.
         for host in range(2):
             model.at(int((1 + crash) * SECOND), lambda host=host: model.crash(host, 3))
     model.run(12)
@@ -124,7 +124,7 @@
     assert cluster_state.machines["vm-000003"].group == GROUP + "h"
     assert cluster_state.machines["vm-000004"].group == GROUP + "g"
     assert cluster_state.team_usage("free") == usage
-    # A transaction of the version before that was held back on its way changes what no longer counts.
+    # A delayed transaction of the previous version changes the old record, which no longer counts.
     late = {**group, "machines": {**group["machines"], "vm-000003": {"address": "x"}}}
     cluster_state.put(GROUP + "g", late, 7)
     assert cluster_state.machines["vm-000003"].group == GROUP + "h"
@@ -135,18 +135,18 @@
 
 
 @given(st.integers(1, 100_000), st.sets(st.integers(0, 99_999), max_size=600), st.integers(900, 4000))
-def test_a_jobs_record_never_exceeds_its_room_and_forgets_only_what_can_be_done_again(tasks, finished, room):
+def test_a_jobs_record_never_exceeds_its_limit_and_forgets_only_completed_tasks(tasks, finished, limit):
     spec = JobSpec("any", "crew", "array", 2, tasks, 1.0, 0.0, 1.0, "img", 1.0)
-    job = Job("job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3, room)
+    job = Job("job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3, limit)
     done = {n for n in finished if n < tasks}
     value = job.value(finished=done, attempt=10**6, failed_on=[f"vm-{n:06}" for n in range(6)])
-    assert len(msgspec.json.encode(value)) <= room
+    assert len(msgspec.json.encode(value)) <= limit
     assert decode_runs(value.get("finished", "")) <= done
     assert 0 < job.most_open <= max(tasks, 1)
 
 
 def test_folds_never_grow_a_record_over_its_limit():
-    # Every other task of many arrays ends: holds fall into fragments, and completed tasks are noted.
+    # The tasks of many arrays end in random order: runs of task numbers get long, in allocations and in `done`.
     limits = Limits(5, 50_000, 2048, low=True)
     cluster_state = ClusterState(1900)
     holds = []
@@ -192,7 +192,7 @@
     assert all(len(cluster_state.finished(job)) == 40 for job in cluster_state.jobs.values())
 
 
-def test_a_machine_full_of_small_tasks_of_many_jobs_gets_no_more_than_its_record_holds():
+def test_a_machine_gets_no_more_small_tasks_of_many_jobs_than_fit_into_its_record():
     limits = Limits(5, 50_000, 2048, low=True)
     cluster_state = ClusterState(1900)
     cluster_state._types["t"] = {"big": MachineType("big", 96.0, 0.0, 384.0, 60.0, 1.0, 1.0, 0.3, 1, ("a",))}
@@ -212,7 +212,7 @@
     assert compact_record.size_of(compact_record.pack(msgspec.to_builtins(record))) < 2048 * 0.9
 
 
-def test_a_description_that_leaves_its_record_no_room_is_refused_with_a_reason():
+def test_a_job_too_large_for_a_record_is_refused_with_a_reason():
     model = Model(3, following=(2.0, 5))
     model.run(3)
     model.submit(submission("job-0", hulls=["small", *(f"type-{n:04}" for n in range(200))]))
@@ -220,7 +220,7 @@
     assert "record" in model.refusals["job-0"]
 
 
-def test_the_lower_rate_is_found_out_and_left_again():
+def test_a_lower_rate_is_detected_and_given_up_again():
     model = Model(3, following=(2.0, 5))
     model.run(4)
     store = model.hosts[0].core.store
@@ -235,9 +235,9 @@
     assert store.changes.bucket.rate == pytest.approx(rate, rel=0.1)
 
 
-@pytest.mark.parametrize(("changes", "size", "says"), [(2, 10, False), (6, 10, True), (1, 4000, True)])
-def test_only_what_is_over_the_lower_limits_says_that_they_are_there(changes, size, says):
-    # Taken for more, any refusal would have records written that the version before cannot read.
+@pytest.mark.parametrize(("changes", "size", "shows"), [(2, 10, False), (6, 10, True), (1, 4000, True)])
+def test_only_a_refused_transaction_beyond_the_lower_limits_shows_that_they_hold(changes, size, shows):
+    # Otherwise any refusal would start the compact form, which the previous version cannot read.
     model = Model(3, following=(2.0, 5))
     model.run(4)
     host = model.hosts[0]
@@ -249,10 +249,10 @@
     model.carry_out(host, host.core.wake(*model.clock(host)))
     model.run(0.3)
     model.state.handle = handle
-    assert host.core.store.refused == says
+    assert host.core.store.refused == shows
 
 
-def test_a_record_in_fragments_keeps_the_longest_runs():
+def test_a_record_too_small_for_all_runs_keeps_the_longest():
     spec = JobSpec("any", "crew", "array", 2, 90_000, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job("job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3, 1900)
     value = job.value(finished=set(range(50_000)) | set(range(50_001, 60_000, 2)))
--- a/tests/test_record_tables.py
+++ b/tests/test_record_tables.py
@@ -1,4 +1,4 @@
-"""The tables of a group's record: they grow at their end only, and are made anew once most of them is of no use."""
+"""The tables of a compact group record: they only grow, until they are rebuilt because many entries are unused."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from ashtray.store.client import Limits, Txn
 
 CHANGES = 60
-"""More than the entries that a table may hold beyond those in use."""
+"""More changes than the tables may have unused entries."""
 
 
 def changed_record(number: int) -> MachineRecord:
-    """A machine with an image, and a hold of a size, that no record before had."""
+    """Return a machine with an image, and an allocation with an amount, that no earlier record had."""
     hold = AllocationRecord("job-000001", 1, "0-2", "crew", float(number), 0.0, 4.0, 1_000_000, -1, "berth-0")
     return MachineRecord("10.0.0.9:1", images=[(f"img-{number}", 1.0)], holds=[hold])
 
 
-def test_the_tables_of_a_record_that_changes_each_time_stay_within_their_bound() -> None:
+def test_the_tables_stay_bounded_while_each_change_adds_entries() -> None:
     cluster_state, limits, key = ClusterState(), Limits(16, 60_000, 32_768, alike=True), GROUP + "g"
     record = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1")})
     cluster_state.put(key, compact_record.pack(msgspec.to_builtins(record)), 1)
@@ -37,5 +37,5 @@
         longest = max(longest, entries)
         assert entries <= 2 + compact_record.SPARE_ENTRIES
         assert cluster_state.machines["vm-0"].record == changed_record(number)
-    # They were kept for some changes, and made anew more than once.
+    # They were kept for some changes, and rebuilt more than once.
     assert 2 < longest < CHANGES
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -1,10 +1,10 @@
-"""All orders of deciding, sending, applying, losing and falling, for the records of one team's limit.
+"""An exhaustive check of the shares of one team's limit: all orders of reads, writes, lost answers and restarts.
 
 The state service is reduced to the team's record and what each controller's tasks use; a controller to its late view
-of both and to the real `Grants`.  From the start every step that is possible is taken, breadth first, until the bound
-on states: overshoot is looked for in each of them, and that nothing that nobody uses is lost for good.
+of both and to the real `Grants`.  From the start, every possible step is taken, breadth first, until the bound on
+states.  In no state may more than the limit be used, and no unused part of the limit may become unusable.
 
-`ASHTRAY_SHARES_STATES=1000000` looks further.
+`ASHTRAY_SHARES_STATES=1000000` explores more states.
 """
 
 from __future__ import annotations
@@ -28,30 +28,32 @@
 
 
 class View(NamedTuple):
-    """What one controller knows, and up to which version of the record it may rely on it."""
+    """What one controller knows, and how far it has read."""
 
     version: int
     shares: Shares
     used: Shares
     read: int
-    """The newest version that a look at the state service, not its own commit, has shown it."""
-    above: int | None
-    """Its placements may be on their way until it has read a version later than this one; None: none is."""
+    """The newest version of the record that it knows by a read, not by its own commit."""
+    newest_guarded: int | None
+    """Placements without an answer may be pending until it has read a version later than this one; None: none are."""
 
 
 class World(NamedTuple):
+    """The record of the limit, what the controllers use, and what each of them knows."""
+
     version: int
     shares: Shares
     used: Shares
     views: tuple[View, ...]
-    late: tuple[tuple[int, int], ...]
-    """Placements without an answer: whose, and which version they guard."""
+    pending: tuple[tuple[int, int], ...]
+    """Placements that got no answer and may still be applied: by which controller, and the version they guard."""
     wants: tuple[int, ...]
-    """For each controller whether tasks wait with it, or, with -1, that it is taken for dead."""
+    """For each controller: 1 if it has waiting tasks, 0 if not, -1 if it counts as dead."""
 
 
-class Late:
-    """Stands for the cluster state of one controller."""
+class StaleClusterState:
+    """A stand-in for the cluster state of one controller."""
 
     def __init__(self, hosts: list[str], view: View) -> None:
         self.shares = {"crew": {host: (share, 0.0) for host, share in zip(hosts, view.shares, strict=True)}}
@@ -71,23 +73,25 @@
 
 def grants_of(hosts: list[str], world: World, n: int) -> Grants:
     view = world.views[n]
-    grants = Grants(hosts[n], hosts, [Team("crew", cpus_max=float(len(hosts)))], Late(hosts, view))  # type: ignore[arg-type]
-    grants._newest_guarded = {} if view.above is None else {"crew": view.above}
-    grants._fenced = {"crew"} if view.above is None else set()
+    grants = Grants(hosts[n], hosts, [Team("crew", cpus_max=float(len(hosts)))], StaleClusterState(hosts, view))  # type: ignore[arg-type]
+    grants._newest_guarded = {} if view.newest_guarded is None else {"crew": view.newest_guarded}
+    grants._fenced = {"crew"} if view.newest_guarded is None else set()
     grants._read_revision = view.read
     return grants
 
 
-def seen(world: World, n: int) -> World:
-    """A look at the state service."""
+def read_by(world: World, n: int) -> World:
+    """Return the world after a controller has read the state service."""
     view = world.views[n]
-    above = None if view.above is not None and view.above < world.version else view.above
-    new = View(world.version, world.shares, world.used, world.version, above)
+    newest_guarded = (
+        None if view.newest_guarded is not None and view.newest_guarded < world.version else view.newest_guarded
+    )
+    new = View(world.version, world.shares, world.used, world.version, newest_guarded)
     return world._replace(views=(*world.views[:n], new, *world.views[n + 1 :]))
 
 
 def steps(hosts: list[str], world: World) -> Iterator[tuple[str, World]]:
-    """Every world that one step leads to."""
+    """Yield every world that one step leads to, with the step's name."""
     for n in range(len(hosts)):
         view = world.views[n]
         grants = grants_of(hosts, world, n)
@@ -95,7 +99,7 @@
         def known(new: View, world: World = world, n: int = n) -> tuple[View, ...]:
             return (*world.views[:n], new, *world.views[n + 1 :])
 
-        yield f"{n} looks", seen(world, n)
+        yield f"{n} reads", read_by(world, n)
         if world.used[n] > 0:
             yield f"a task of {n} ends", world._replace(used=replaced(world.used, n, world.used[n] - 1))
         if grants.allowed("crew", SPEC) > 0:
@@ -103,10 +107,10 @@
                 used = replaced(world.used, n, world.used[n] + 1)
                 own = view._replace(used=replaced(view.used, n, view.used[n] + 1))
                 yield f"{n} places", world._replace(used=used, views=known(own))
-            if len(world.late) < 2:
-                doubt = view._replace(above=view.version)
-                late = tuple(sorted((*world.late, (n, view.version))))
-                yield f"{n} places without an answer", world._replace(late=late, views=known(doubt))
+            if len(world.pending) < 2:
+                unanswered = view._replace(newest_guarded=view.version)
+                pending = tuple(sorted((*world.pending, (n, view.version))))
+                yield f"{n} places without an answer", world._replace(pending=pending, views=known(unanswered))
         fence = grants.fence(["crew"])
         if fence is not None and view.version == world.version:
             version = world.version + 1
@@ -119,60 +123,66 @@
                 version = world.version + 1
                 own = view._replace(version=version, shares=shares)
                 yield f"{n} reshares {urgent}", world._replace(version=version, shares=shares, views=known(own))
-        # It ends and begins anew: it knows nothing, and what it sent may still be on its way.
+        # The process restarts: it knows nothing of its placements without an answer, which may still be pending.
         fresh = View(world.version, world.shares, world.used, world.version, world.version)
-        yield f"{n} begins anew", world._replace(views=known(fresh))
-    for entry in set(world.late):
-        left = list(world.late)
+        yield f"{n} restarts", world._replace(views=known(fresh))
+    for entry in set(world.pending):
+        left = list(world.pending)
         left.remove(entry)
         used = world.used
         if entry[1] == world.version:
             used = replaced(used, entry[0], used[entry[0]] + 1)
-        yield f"a late one of {entry[0]} arrives", world._replace(late=tuple(left), used=used)
+        yield f"a pending placement of {entry[0]} is applied", world._replace(pending=tuple(left), used=used)
 
 
 def canonical(world: World) -> Any:
-    """Versions count only by how they compare."""
-    known = {world.version, *(version for _, version in world.late)}
+    """Return the world with versions replaced by their rank: only their order matters."""
+    known = {world.version, *(version for _, version in world.pending)}
     for view in world.views:
-        known |= {view.version, view.read} | ({view.above} if view.above is not None else set())
+        known |= {view.version, view.read} | ({view.newest_guarded} if view.newest_guarded is not None else set())
     rank = {version: n for n, version in enumerate(sorted(known))}
     views = tuple(
-        (rank[v.version], v.shares, v.used, rank[v.read], None if v.above is None else rank[v.above])
+        (
+            rank[v.version],
+            v.shares,
+            v.used,
+            rank[v.read],
+            None if v.newest_guarded is None else rank[v.newest_guarded],
+        )
         for v in world.views
     )
-    return rank[world.version], world.shares, world.used, views, tuple((n, rank[v]) for n, v in world.late)
+    return rank[world.version], world.shares, world.used, views, tuple((n, rank[v]) for n, v in world.pending)
 
 
-def start(number: int, wants: tuple[int, ...]) -> World:
-    """A limit of one task for each controller, shared out evenly."""
-    shares = (1.0,) * number
-    nobody = (0.0,) * number
-    return World(2, shares, nobody, (View(2, shares, nobody, 2, None),) * number, (), wants)
+def start(controllers: int, wants: tuple[int, ...]) -> World:
+    """Return the first world: a limit of one task for each controller, in equal shares."""
+    shares = (1.0,) * controllers
+    nothing_used = (0.0,) * controllers
+    return World(2, shares, nothing_used, (View(2, shares, nothing_used, 2, None),) * controllers, (), wants)
 
 
-def explore(number: int, wants: tuple[int, ...], most: int) -> tuple[int, World | None, list[str]]:
-    """States looked at; the first in which more is used than the limit, and the steps to it."""
-    hosts = [f"h{n}" for n in range(number)]
-    first = start(number, wants)
-    came: dict[Any, tuple[Any, str]] = {canonical(first): (None, "")}
+def explore(controllers: int, wants: tuple[int, ...], max_states: int) -> tuple[int, World | None, list[str]]:
+    """Return how many states were reached; the first with more used than the limit, if any; and the steps to it."""
+    hosts = [f"h{n}" for n in range(controllers)]
+    first = start(controllers, wants)
+    reached_from: dict[Any, tuple[Any, str]] = {canonical(first): (None, "")}
     queue = deque([first])
-    while queue and len(came) < most:
+    while queue and len(reached_from) < max_states:
         world = queue.popleft()
         here = canonical(world)
         for name, after in steps(hosts, world):
             there = canonical(after)
-            if there in came:
+            if there in reached_from:
                 continue
-            came[there] = (here, name)
-            if sum(after.used) > number + 1e-6:
+            reached_from[there] = (here, name)
+            if sum(after.used) > controllers + 1e-6:
                 path = []
                 while there is not None:
-                    there, name = came[there]
+                    there, name = reached_from[there]
                     path.append(name)
-                return len(came), after, path[::-1]
+                return len(reached_from), after, path[::-1]
             queue.append(after)
-    return len(came), None, []
+    return len(reached_from), None, []
 
 
 @pytest.mark.parametrize("wants", [(1, 0), (1, 1), (1, -1), (0, 1, -1), (1, 1, 0)])
@@ -183,8 +193,8 @@
 
 
 @pytest.mark.parametrize("wants", [(1, 0), (1, -1), (1, 0, -1), (1, -1, -1)])
-def test_nothing_is_lost_for_good(wants: tuple[int, ...]) -> None:
-    """From any state nearby, the only one with work gets all that is free within a few steps of its own."""
+def test_no_part_of_the_limit_becomes_unusable(wants: tuple[int, ...]) -> None:
+    """From states near the start, the only controller with work gets all that is free in a few steps of its own."""
     hosts = [f"h{n}" for n in range(len(wants))]
     seen_states: set[Any] = set()
     queue = deque([start(len(wants), wants)])
@@ -194,10 +204,10 @@
             continue
         seen_states.add(canonical(world))
         queue.extend(after for _, after in steps(hosts, world))
-        # Nothing of the others is on its way any more, and nobody else does anything.
-        world = world._replace(late=())
+        # No placement is pending any more, and the other controllers do nothing.
+        world = world._replace(pending=())
         for _ in range(12):
-            world = seen(world, 0)
+            world = read_by(world, 0)
             name = "0 places" if grants_of(hosts, world, 0).allowed("crew", SPEC) else "0 "
             options = dict(steps(hosts, world))
             own = [step for step in options if step in (name, "0 fences", "0 reshares 2")]
--- a/tests/test_urgent_shares.py
+++ b/tests/test_urgent_shares.py
@@ -1,4 +1,4 @@
-"""What is left of a team's limit while several controllers have urgent jobs for it."""
+"""The unused rest of a team's limit while several controllers have urgent jobs of that team."""
 
 import pytest
 
@@ -7,8 +7,8 @@
 
 @pytest.mark.parametrize("hosts", [3, 5])
 @pytest.mark.parametrize("seed", [1, 2, 4])
-def test_what_is_left_of_a_limit_is_used_where_several_controllers_have_urgent_jobs(seed, hosts):
-    # Found by generated nights: each took it from the others before any could place for it, without end.
+def test_the_rest_of_a_limit_is_used_where_several_controllers_have_urgent_jobs(seed, hosts):
+    # Otherwise the controllers take it from one another without end, before any of them can place a task with it.
     model = Model(seed, hosts)
     model.checks()
     model.run(3)
@@ -23,5 +23,5 @@
     records = model.hosts[0].core.cluster_state.jobs.values()
     assert len({job.record.owner for job in records if job.priority == 0}) > 1
     assert model._team_uses() == TEAM["cpus_max"]
-    # Each acceptance, start and share takes a few; to and fro took 312 to 695.
+    # Each acceptance, start and change of shares takes a few writes; shares moving back and forth took 312 to 695.
     assert model.state.revision - before < 250
