--- a/ashtray/placement/compact_record.py
+++ b/ashtray/placement/compact_record.py
@@ -21,7 +21,7 @@
 """The field that only records in compact form have."""
 SPOT, RETIRING = 1, 2
 """Bits of a machine's flags."""
-PLACED_US = AllocationRecord.__struct_fields__.index("placed_us")
+PLACED_US_INDEX = AllocationRecord.__struct_fields__.index("placed_us")
 """The index of the placement time in an allocation, which is encoded as a list."""
 JOB_PREFIX = "job-"
 """The prefix of all job ids, which the compact form leaves out."""
@@ -52,7 +52,7 @@
     def empty(cls, machines: dict[str, Any]) -> _Tables:
         """Return empty tables for machines in full form; times are counted from the earliest placement."""
         placed_us = (
-            allocation[PLACED_US] for machine in machines.values() for allocation in machine.get("holds", ())
+            allocation[PLACED_US_INDEX] for machine in machines.values() for allocation in machine.get("holds", ())
         )
         return cls(min(placed_us, default=0) // SECOND_US, {}, {})
 
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -214,9 +214,9 @@
         turn: int = LAST_TURN,
         urgent: bool = False,
     ) -> Txn | None:
-        """Return a transaction that makes room in this controller's share for `count` more tasks, or None.
+        """Return a transaction that gets this controller a share for `count` more tasks, or None if it cannot help.
 
-        It raises this controller's share by what is in nobody's share, and lowers peers' by what they cannot use.
+        It adds the unassigned part of the limit to this controller's share, and lowers peers' by what they cannot use.
         `demands` is what `wants` returned, `turn` the job's turn.
 
         A peer may still use what its lowered share no longer includes, until it reads the change.  So this controller
@@ -272,7 +272,7 @@
                         demand = demands.get(host, NO_DEMAND)
                         if turn <= min(demand.first_gang, demand.first_urgent):
                             released[host] = self._releasable(host, shares, used, demands, True)
-            # Lower no share unless that makes room for the gang, or for at least one more task of an array.
+            # Lower no share unless the gang, or at least one more task of an array, then fits.
             if self._suffices(team, spec, count, allowed_now, available, released, shares, used):
                 for host, release in released.items():
                     new[host] = tuple(shares[host][n] - (release[n] if n in short else 0.0) for n in (0, 1))  # type: ignore[assignment]
@@ -283,9 +283,9 @@
     def _raised_share(
         self, own: Share, available: list[float], need: list[float], demands: Mapping[str, Demand]
     ) -> Share:
-        """Return this controller's share, raised by what it needs now and by its part of what is in nobody's share.
+        """Return this controller's share, raised by its part of the limit's unassigned part, at least by its need.
 
-        That part is in proportion to the demands of the controllers.  `available` is what the share can be raised to.
+        Its part is in proportion to the controllers' demands.  `available` is the amount that the share can be raised to.
         """
         raised = []
         for n in (0, 1):
