--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -216,7 +216,7 @@
     ) -> Txn | None:
         """Return a transaction that gets this controller a share for `count` more tasks, or None if it cannot help.
 
-        It adds the unassigned part of the limit to this controller's share, and lowers peers' by what they cannot use.
+        It adds what is in no share to this controller's share, and lowers peers' shares by what they cannot use.
         `demands` is what `wants` returned, `turn` the job's turn.
 
         A peer may still use what its lowered share no longer includes, until it reads the change.  So this controller
@@ -283,9 +283,9 @@
     def _raised_share(
         self, own: Share, available: list[float], need: list[float], demands: Mapping[str, Demand]
     ) -> Share:
-        """Return this controller's share, raised by its part of the limit's unassigned part, at least by its need.
+        """Return this controller's share, raised by its part of what is in no share, or by its need if that is more.
 
-        Its part is in proportion to the controllers' demands.  `available` is the amount that the share can be raised to.
+        Its part is in proportion to the controllers' demands.  `available` is what the share can be raised to.
         """
         raised = []
         for n in (0, 1):
