--- a/ashtray/jobs/__init__.py
+++ b/ashtray/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: acceptance, polls, cancellation and their records."""
+"""Jobs: submission, state queries, cancellation, dependencies, and their records."""
--- a/ashtray/jobs/accepting.py
+++ b/ashtray/jobs/accepting.py
@@ -1,7 +1,8 @@
-"""Writing down accepted jobs: those that come in while others are on their way share a transaction.
+"""Batches the first records of accepted jobs into shared transactions.
 
-A crowd of submissions, as after an outage, would otherwise cost a request each: processor time that a controller
-which has just started does not have, and requests that all of them lack.
+Jobs that are submitted while transactions are in flight share the next one.  With one request per job, a burst of
+submissions, as after an outage, would overload a controller that has just started and use up the request budget that
+all controllers share.
 """
 
 from __future__ import annotations
@@ -16,13 +17,16 @@
 from ashtray.kernel import Fiber, Kernel, Reply, Signal
 from ashtray.store.client import Limits, StoreClient, Txn, Urgency
 
-AT_ONCE = 4
-"""Transactions on their way at one time: up to so many, nothing waits for company."""
+MAX_CONCURRENT_TXNS = 4
+"""Most transactions in flight at a time.  While there are fewer, a new job is written at once and not batched."""
 
 
 @dataclass
-class Pending:
-    """A job to be written down, and who waits for it."""
+class PendingJob:
+    """A job whose first record is to be written.
+
+    `outcome` fires with the status and the revision of the state service.
+    """
 
     job_id: str
     value: Any
@@ -30,85 +34,92 @@
     outcome: Signal = field(default_factory=Signal)
 
 
-class Accepting:
-    """Jobs share transactions, but not their fate: one that is known already does not hold up the others."""
+class AcceptanceBatcher:
+    """Writes first records of jobs, several in one transaction.
+
+    If one of them was accepted before, the transaction fails, and the others are retried without that job.
+    """
 
     def __init__(
-        self, kernel: Kernel, store: StoreClient, limits: Limits, known: Callable[[str], bool] = lambda job_id: False
+        self,
+        kernel: Kernel,
+        store: StoreClient,
+        limits: Limits,
+        is_accepted: Callable[[str], bool] = lambda job_id: False,
     ) -> None:
-        """`known` tells whether a job is known by now: one that is known costs no change."""
+        """`is_accepted` tells whether a job is accepted already, by any controller; such a job is not written."""
         self._kernel = kernel
         self._store = store
         self._limits = limits
-        self._known = known
-        self._pending: dict[str, Pending] = {}
-        self._on_their_way: dict[str, Pending] = {}
-        self._running = 0
+        self._is_accepted = is_accepted
+        self._pending: dict[str, PendingJob] = {}
+        self._in_flight: dict[str, PendingJob] = {}
+        self._committers = 0
 
     def accept(self, job_id: str, value: Any) -> Fiber[tuple[int, int]]:
-        """Write a job's first record; the state service's status and revision.
+        """Write a job's first record; returns the state service's status and revision.
 
-        409: the job is known already.  Anything else but 200 leaves open whether it was accepted.
+        200: the job is accepted.  409: it was accepted before.  Any other status leaves open whether it was accepted.
         """
-        other = self._pending.get(job_id) or self._on_their_way.get(job_id)
-        if other is not None:
-            # The same job, submitted twice at one time: the second one has to look what became of the first.
-            status, ledger = yield other.outcome
-            return (409 if status == 200 else status), ledger
-        job = self._pending[job_id] = Pending(job_id, value, len(msgspec.json.encode(value)))
-        if self._running < AT_ONCE:
-            self._running += 1
-            self._kernel.spawn(self._run())
-        status, ledger = yield job.outcome
-        return status, ledger
-
-    def _run(self) -> Fiber[None]:
+        first = self._pending.get(job_id) or self._in_flight.get(job_id)
+        if first is not None:
+            # The same job is being written for another request, so this one shares its outcome.
+            status, revision = yield first.outcome
+            return (409 if status == 200 else status), revision
+        job = self._pending[job_id] = PendingJob(job_id, value, len(msgspec.json.encode(value)))
+        if self._committers < MAX_CONCURRENT_TXNS:
+            self._committers += 1
+            self._kernel.spawn(self._commit_pending())
+        status, revision = yield job.outcome
+        return status, revision
+
+    def _commit_pending(self) -> Fiber[None]:
         try:
             while self._pending:
-                yield from self._commit()
+                yield from self._commit_batch()
         finally:
-            self._running -= 1
+            self._committers -= 1
 
-    def _commit(self) -> Fiber[None]:
-        taken: list[Pending] = []
+    def _commit_batch(self) -> Fiber[None]:
+        batch: list[PendingJob] = []
 
         def build() -> Txn | None:
-            # Called again after an answer 429: what was taken then stays together.
+            # The store client calls this again after a 429: the jobs of the batch stay in it.
             txn = Txn()
-            room = self._limits.txn_bytes - sum(job.size for job in taken)
-            # What has come since the budget was asked for goes along as far as there is budget for it as well.
-            most = min(number + self._store.changes.spare(Urgency.ACCEPT), self._limits.ops)
-            while self._pending and len(taken) < most:
+            free_bytes = self._limits.txn_bytes - sum(job.size for job in batch)
+            # Jobs submitted since the write budget was requested join the batch as far as spare budget covers them.
+            max_jobs = min(requested + self._store.changes.spare(Urgency.ACCEPT), self._limits.ops)
+            while self._pending and len(batch) < max_jobs:
                 job = next(iter(self._pending.values()))
-                if self._known(job.job_id):
-                    # Another controller has accepted it meanwhile: its user sent it again.
+                if self._is_accepted(job.job_id):
+                    # Its user also sent it to another controller, which has accepted it meanwhile.
                     self._kernel.fire(self._pending.pop(job.job_id).outcome, (409, 0))
                     continue
-                if taken and job.size > room:
+                if batch and job.size > free_bytes:
                     break
-                room -= job.size
-                taken.append(job)
-                self._on_their_way[job.job_id] = self._pending.pop(job.job_id)
-            for job in taken:
+                free_bytes -= job.size
+                batch.append(job)
+                self._in_flight[job.job_id] = self._pending.pop(job.job_id)
+            for job in batch:
                 txn.guard(LIVE + job.job_id, 0).guard(OVER + job.job_id, 0).put(LIVE + job.job_id, job.value)
-            return txn if taken else None
+            return txn if batch else None
 
-        number = min(len(self._pending), self._limits.ops)
+        requested = min(len(self._pending), self._limits.ops)
         reply = Reply(0)
         try:
-            _, reply = yield from self._store.commit(build, number, Urgency.ACCEPT, "accept")
+            _, reply = yield from self._store.commit(build, requested, Urgency.ACCEPT, "accept")
         finally:
             failed = set((reply.body or {}).get("failed", ())) if reply.status == 409 else set()
-            for job in taken:
-                del self._on_their_way[job.job_id]
+            for job in batch:
+                del self._in_flight[job.job_id]
                 known = not failed.isdisjoint((LIVE + job.job_id, OVER + job.job_id))
                 if failed and not known:
-                    # Another one of them was known already: nothing was executed, and this one goes with the next.
+                    # Another job of the batch was accepted before, so nothing was written: retry this one.
                     self._pending[job.job_id] = job
                     continue
-                ledger = reply.body["ledger"] if reply.status == 200 else 0
-                self._kernel.fire(job.outcome, (reply.status, ledger))
+                revision = reply.body["ledger"] if reply.status == 200 else 0
+                self._kernel.fire(job.outcome, (reply.status, revision))
 
     def waiting(self) -> int:
-        """How many jobs wait for a transaction."""
+        """Return how many jobs wait for a transaction."""
         return len(self._pending)
--- a/ashtray/jobs/answers.py
+++ b/ashtray/jobs/answers.py
@@ -1,7 +1,7 @@
-"""The one place through which all answers about jobs leave a controller.
+"""The answers to users' requests about jobs, and their conversion to HTTP statuses and bodies.
 
-Whatever a user asks, the answer is one of the types below, and `AnswerSender.send` alone turns it into a status and a
-body.  When each of them may be given is safety point 6 of `docs/design.md`.
+Every answer is one of the types below, and only `AnswerSender.send` sends one.  Safety point 6 of `docs/design.md`
+says when each of them may be given.
 """
 
 from __future__ import annotations
@@ -12,13 +12,16 @@
 from ashtray.jobs.messages import state_body
 from ashtray.kernel import Kernel
 
-FINAL = ("done", "cancelled")
-"""The states that never change."""
+FINAL_STATES = ("done", "cancelled")
+"""The states that a job never leaves."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """A job's state: a final one, or one that was read after the question (`JobStates` makes no others)."""
+    """A job's state, which is final or was read after the request came in.
+
+    Only `JobStates` creates instances, so both hold for each of them.
+    """
 
     job_id: str
     status: str
@@ -28,25 +31,25 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the job is over."""
-        return self.status in FINAL
+        """Return whether the job is done or cancelled."""
+        return self.status in FINAL_STATES
 
 
 @dataclass(frozen=True, slots=True)
 class NeverAccepted:
-    """Nobody had been told that there is such a job when the question came: that was read after it."""
+    """No user had been told of such a job before the request came in, by a read that began after that."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """This controller has committed the job's first record."""
+    """The answer to a submission: this controller has committed the job's first record."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The answer to a cancellation: the job's final state."""
+    """The answer to a cancellation: the job is over, with its final state."""
 
     job_id: str
     status: str
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A submission that is malformed (400) or can never run (422), of a job that nobody has accepted."""
+    """A submission that is malformed (400) or can never run (422), for a job that no controller has accepted."""
 
     status: int
     reason: str
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """Nothing can be said now; the same request may be sent again."""
+    """The request cannot be answered now; the user may send it again after `after_s` seconds."""
 
     reason: str
     status: int = 503
@@ -71,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Why a live job's tasks wait or run where they do, for operators and users who ask."""
+    """Why a live job's tasks wait, or why they run on their machines."""
 
     body: Any
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAnswer:
-    """What a peer answered to a request that was forwarded to it; the same rules hold there."""
+    """A peer's answer to a forwarded request; the peer gave it by the same rules."""
 
     status: int
     body: Any
@@ -86,23 +89,23 @@
 
 UserAnswer = JobState | NeverAccepted | Accepted | Ended | Refused | RetryLater | Explanation | PeerAnswer
 
-UNREADABLE = RetryLater("the state service does not answer")
+STATE_UNREADABLE = RetryLater("the state service does not answer")
 
 
 class AnswerSender:
-    """Turns answers into statuses and bodies."""
+    """Sends answers to users as HTTP responses."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
 
     def send(self, request_id: int, answer: UserAnswer) -> None:
-        """Answer a user's request."""
+        """Send an answer to a user's request."""
         retry_after_s = answer.after_s if isinstance(answer, RetryLater) else None
         self._kernel.answer(request_id, *_encode(answer), retry_after_s)
 
 
 def _encode(answer: UserAnswer) -> tuple[int, Any]:
-    """The status and the body of an answer."""
+    """Return the HTTP status and the body of an answer."""
     match answer:
         case JobState(job_id, status, done, running, waits_on):
             return 200, state_body(job_id, status, done, running, list(waits_on))
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -14,11 +14,11 @@
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers.folding import end_job
 
-TRY_US = 3 * SECOND_US
+CONFLICT_RETRY_US = 3 * SECOND_US
 """For so long a cancellation is tried again after a conflict, before its user is told to."""
 
 
-class Cancelling:
+class CancellationHandler:
     """Ends jobs as cancelled."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, states: JobStates, sender: AnswerSender) -> None:
@@ -34,7 +34,7 @@
         self.sender.send(request_id, (yield from self._outcome(job_id)))
 
     def _outcome(self, job_id: str) -> Fiber[UserAnswer]:
-        deadline_us = self.kernel.now_us + TRY_US
+        deadline_us = self.kernel.now_us + CONFLICT_RETRY_US
         build = partial(self.transaction, job_id)
         attempts = 0
         known = self.base.cluster_state.is_over(job_id)
@@ -97,19 +97,19 @@
         yield Sleep(SECOND_US)
         if not base.follower.loaded or not any(self.presence.mine(job) for job in self._cancelled_dependents()):
             return
-        buried: list[str] = []
+        messages: list[str] = []
 
         def build() -> Txn | None:
-            buried.clear()
+            messages.clear()
             txn = Txn()
             for job in self._cancelled_dependents():
                 if txn.changes() + 2 <= base.limits.ops and self.presence.mine(job):
                     end_job(txn, job, "cancelled", 0, self.kernel.wall_us)
-                    buried.append(f"{job.id} cancelled with {base.cluster_state.dependencies.cancelled_by[job.id]}")
-            return txn if buried else None
+                    messages.append(f"{job.id} cancelled with {base.cluster_state.dependencies.cancelled_by[job.id]}")
+            return txn if messages else None
 
         if (yield from base.follower.commit(build, 2, Urgency.FREE, "bury")):
-            for line in buried:
+            for line in messages:
                 self.kernel.log("info", line)
 
     def _cancelled_dependents(self) -> list[Job]:
--- a/ashtray/jobs/forwarding.py
+++ b/ashtray/jobs/forwarding.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ashtray.base import Base
-from ashtray.jobs.answers import UNREADABLE, AnswerSender, PeerAnswer
+from ashtray.jobs.answers import STATE_UNREADABLE, AnswerSender, PeerAnswer
 from ashtray.kernel import Call, Fiber, Reply
 from ashtray.peers.presence import Peers, Presence
 
@@ -47,7 +47,7 @@
         # It is done at the first failure: it costs little, unlike sending workers to and fro.
         peers = [] if forwarded else self.peers.connected()
         if not peers or self._forwarded >= MAX_FORWARDED:
-            self.sender.send(request_id, UNREADABLE)
+            self.sender.send(request_id, STATE_UNREADABLE)
         else:
             self.base.kernel.spawn(self._forward(request_id, peers[:2], request))
 
@@ -62,5 +62,5 @@
                 self.sender.send(request_id, PeerAnswer(reply.status, reply.body))
                 break
         else:
-            self.sender.send(request_id, UNREADABLE)
+            self.sender.send(request_id, STATE_UNREADABLE)
         self._forwarded -= 1
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -8,7 +8,7 @@
 from ashtray.base import Base
 from ashtray.estimates.learned import Estimates
 from ashtray.jobs.answers import AnswerSender, Explanation, JobState, Refused, RetryLater, UserAnswer
-from ashtray.jobs.cancelling import Cancelling
+from ashtray.jobs.cancelling import CancellationHandler
 from ashtray.jobs.forwarding import Forwarder, UserRequest
 from ashtray.jobs.messages import Malformed, parse_submission
 from ashtray.jobs.model import Job
@@ -50,7 +50,7 @@
         self.states = JobStates(base, placed_anew)
         self.forwarder = Forwarder(base, presence, peers, self.sender)
         self.submitting = Submitting(base, presence, self.states, self.sender, placed_anew)
-        self.cancelling = Cancelling(base, presence, peers, self.states, self.sender)
+        self.cancelling = CancellationHandler(base, presence, peers, self.states, self.sender)
 
     def submit(self, request_id: int, body: Any, forwarded: bool = False) -> None:
         """Accept a job."""
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ashtray.base import Base
-from ashtray.jobs.answers import UNREADABLE, JobState, NeverAccepted, RetryLater
+from ashtray.jobs.answers import STATE_UNREADABLE, JobState, NeverAccepted, RetryLater
 from ashtray.jobs.model import OVER, Job
 from ashtray.kernel import SECOND_US, Fiber, Signal, Sleep, Wait
 from ashtray.store.client import Urgency
@@ -50,12 +50,12 @@
         while job_id not in cluster_state.over:
             # Safety point 6: what is not final is said only after a read that began after the question.
             if not (yield from self.base.follower.barrier(patient=True)):
-                return UNREADABLE
+                return STATE_UNREADABLE
             job = cluster_state.jobs.get(job_id)
             if job is not None:
                 known = yield from self._know_needs(job, urgency)
                 if known is False:
-                    return UNREADABLE
+                    return STATE_UNREADABLE
                 state = self._live(job) if known else None
                 if state is None:
                     # Reading took a while, or a later change is shown: what the barrier read may not be so any more.
@@ -94,10 +94,10 @@
         """Read a final state, or wait for somebody else's reading of it; what to say if that fails."""
         looking = self._looking.get(job_id)
         if looking is not None:
-            return UNREADABLE if (yield Wait(looking, 2 * SECOND_US)) is None else None
+            return STATE_UNREADABLE if (yield Wait(looking, 2 * SECOND_US)) is None else None
         if len(self._looking) >= MAX_LOOKING and urgency > Urgency.ACCEPT:
             return RetryLater("too many questions")
-        return None if (yield from self._read_final(job_id, urgency)) in FOUND else UNREADABLE
+        return None if (yield from self._read_final(job_id, urgency)) in FOUND else STATE_UNREADABLE
 
     def _know_needs(self, job: Job, urgency: Urgency) -> Fiber[bool | None]:
         """Read what is not known of the jobs before a live one: it may be cancelled with one of them.
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ashtray.base import Base
-from ashtray.jobs.accepting import Accepting
+from ashtray.jobs.accepting import AcceptanceBatcher
 from ashtray.jobs.answers import Accepted, AnswerSender, NeverAccepted, Refused, RetryLater, UserAnswer
 from ashtray.jobs.model import FEW_RUNS, LIVE, SPARE_BYTES, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
@@ -39,7 +39,7 @@
         self.presence = presence
         self.states = states
         self.sender = sender
-        self.accepting = Accepting(base.kernel, base.store, base.limits, base.cluster_state.knows)
+        self.accepting = AcceptanceBatcher(base.kernel, base.store, base.limits, base.cluster_state.knows)
         self._job_accepted = job_accepted
 
     def submit(self, request_id: int, job_id: str, spec: JobSpec) -> Fiber[None]:
