--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -1,4 +1,4 @@
-"""Cancellations: by a job's user, and of jobs that wait on one that was cancelled."""
+"""Cancels jobs at their users' request, and jobs whose dependencies were cancelled."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from ashtray.workers.folding import end_job
 
 CONFLICT_RETRY_US = 3 * SECOND_US
-"""For so long a cancellation is tried again after a conflict, before its user is told to."""
+"""How long a cancellation is retried after conflicts before its user is told to retry."""
 
 
 class CancellationHandler:
-    """Ends jobs as cancelled."""
+    """Writes the final state `cancelled` of jobs."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, states: JobStates, sender: AnswerSender) -> None:
         self.base = base
@@ -30,20 +30,20 @@
         self.sender = sender
 
     def cancel(self, request_id: int, job_id: str) -> Fiber[None]:
-        """Cancel a job for its user, and answer."""
-        self.sender.send(request_id, (yield from self._outcome(job_id)))
+        """Cancel a job and answer its user's request."""
+        self.sender.send(request_id, (yield from self._cancel(job_id)))
 
-    def _outcome(self, job_id: str) -> Fiber[UserAnswer]:
+    def _cancel(self, job_id: str) -> Fiber[UserAnswer]:
         deadline_us = self.kernel.now_us + CONFLICT_RETRY_US
         build = partial(self.transaction, job_id)
         attempts = 0
-        known = self.base.cluster_state.is_over(job_id)
+        was_over = self.base.cluster_state.is_over(job_id)
         while self.kernel.now_us < deadline_us:
             state = yield from self.states.look_up(job_id)
             if not isinstance(state, JobState):
                 return state
             if state.is_final:
-                if state.status == "cancelled" and not known:
+                if state.status == "cancelled" and not was_over:
                     yield from self._announce_found(job_id, attempts)
                 return Ended(job_id, state.status)
             attempts += 1
@@ -54,45 +54,45 @@
         return RetryLater("not cancelled yet")
 
     def _announce_found(self, job_id: str, attempts: int) -> Fiber[None]:
-        """Announce a cancellation that was found by reading: whoever committed it may not have announced it.
+        """Announce a cancellation that was found by reading, because its controller may not have announced it.
 
-        The answer to this controller's own transaction may have been lost, or another controller ended after its own.
-        The user is told only after that, so that no peer starts a task of the job then (safety point 5).
+        The answer to this controller's own transaction may have been lost, or another controller may have crashed
+        after its commit.  The user is told only after the announcement, so that no peer starts a task of the job
+        after that (safety point 5).
         """
         if attempts:
             self.kernel.log("info", f"{job_id} cancelled")
         yield from self.peers.announcer.announce(job_id)
 
     def transaction(self, job_id: str) -> Txn | None:
-        """The change that ends a job as cancelled, as far as the cluster state tells.
-
-        None where it must not be tried.
-        """
+        """Return the transaction that ends a job as cancelled, by the cluster state; None if it must not be tried."""
         cluster_state = self.base.cluster_state
         job = cluster_state.jobs.get(job_id)
         if job is None:
             return None
         txn = Txn()
         if job.spec.kind != "service" and job.spec.tasks <= MOST_LATER:
-            # It is done for its users once its groups say so: none of them may have come to that meanwhile, and what
-            # this process has just folded itself, others may take the groups' word for already (point 13).
+            # Such a job counts as done once its group records say that all tasks are done.  The transaction must fail
+            # if a group record has changed to say so meanwhile.  A fold of this process counts here before it was
+            # read back, because other controllers may have read it already (point 13).
             if cluster_state.all_done(job):
                 return None
             groups = {cluster_state.machines[name].group for name, _ in cluster_state.allocations.get(job_id, ())}
-            # Where there are more than a transaction may depend on, nobody takes the groups' word for it.
+            # With more groups than a transaction can guard, no controller counts a job as done by its group records.
             for key in groups if len(groups) < self.base.limits.least_guards else ():
                 txn.guard(key, cluster_state.groups[key].version)
                 if cluster_state.groups[key].size > self.base.limits.value_bytes:
-                    # Its machines may be moved without a change of its own, and be folded where they are then (16).
+                    # The machines of such a group may move to other groups, and be folded there, without a write to
+                    # this record (point 16).
                     lock = split_key(key)
                     txn.guard(lock, cluster_state.version(lock))
             if len(txn.guards) >= self.base.limits.guards:
-                # More than a transaction may depend on: tried again, for such a group is split within seconds.
+                # Too many guards for one transaction.  The caller retries: such a group is split within seconds.
                 return None
         return end_job(txn, job, "cancelled", len(cluster_state.finished(job)), self.kernel.wall_us)
 
     def bury(self) -> Fiber[None]:
-        """Write the final states of jobs that count as cancelled since one of their dependencies is."""
+        """Write the final states of jobs that count as cancelled because a dependency was cancelled."""
         base = self.base
         yield Sleep(SECOND_US)
         if not base.follower.loaded or not any(self.presence.mine(job) for job in self._cancelled_dependents()):
@@ -113,6 +113,6 @@
                 self.kernel.log("info", line)
 
     def _cancelled_dependents(self) -> list[Job]:
-        """The live jobs that count as cancelled since one of their dependencies is."""
+        """Return the live jobs that count as cancelled because a dependency was cancelled."""
         cluster_state = self.base.cluster_state
         return [cluster_state.jobs[job_id] for job_id in cluster_state.dependencies.cancelled_by]
--- a/ashtray/jobs/dependencies.py
+++ b/ashtray/jobs/dependencies.py
@@ -1,7 +1,7 @@
-"""Jobs that wait on others: which are ready, which are cancelled, and how urgent that makes the jobs before them.
+"""Dependencies between jobs: which jobs are ready, which are cancelled, and how urgent their dependencies become.
 
-Nothing of this is stored.  A final state never changes, and a job names its dependencies when it is submitted, so
-everything here follows from the jobs' records and final states, in the same way on every controller.
+None of this is stored.  A final state never changes, and a job names its dependencies when it is submitted.  So every
+controller derives the same from the jobs' records and final states.
 """
 
 from __future__ import annotations
@@ -13,136 +13,152 @@
 
 
 class Dependencies:
-    """The dependency graph of the live jobs, and the known ends of the jobs that they wait on."""
+    """The dependency graph of the live jobs, and when the jobs that they wait on ended, where that is known."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
         self._jobs = jobs
         self.dependents: dict[str, set[str]] = {}
-        """For each job that is waited on, the live jobs that name it."""
-        self._ends: dict[str, int | None] = {}
+        """For each dependency, live or not, the ids of the live jobs that name it."""
+        self._done_us: dict[str, int | None] = {}
         """When each dependency that is over was done, in microseconds of the time of day; None: it was cancelled.
 
-        Kept as long as a live job names it, unlike the cache of final states.
+        Unlike in the cache of final states, an entry is kept as long as a live job names the dependency.
         """
         self.cancelled_by: dict[str, str] = {}
         """The live jobs that count as cancelled, each with the cancelled dependency that is the reason."""
-        self._known: dict[str, Job] = {}
+        self._linked: dict[str, Job] = {}
         """The live jobs that have dependencies or dependents."""
 
-    # What is read from the state service
+    # Updates from the state service
 
-    def put(self, job: Job, over: dict[str, Any]) -> set[str]:
-        """Note the record of a live job; returns the ids of jobs whose readiness may have changed."""
-        new = job.id not in self._known
+    def put(self, job: Job, final_states: dict[str, Any]) -> set[str]:
+        """Add or update a live job; returns the ids of jobs whose readiness may have changed.
+
+        `final_states` are the known final states, by job id.
+        """
+        new = job.id not in self._linked
         changed: set[str] = set()
         if job.spec.needs or job.id in self.dependents:
-            self._known[job.id] = job
+            self._linked[job.id] = job
         if new:
-            for need in job.spec.needs:
-                self.dependents.setdefault(need, set()).add(job.id)
-                if need not in self._ends and need in over:
-                    self._note(need, over[need])
-                if self._cancelled(need):
-                    changed |= self._cancel_with(job.id, need)
-        self._settle(job)
+            for dependency in job.spec.needs:
+                self.dependents.setdefault(dependency, set()).add(job.id)
+                if dependency not in self._done_us and dependency in final_states:
+                    self._record_end(dependency, final_states[dependency])
+                if self._is_cancelled(dependency):
+                    changed |= self._mark_cancelled(job.id, dependency)
+        self._update_job(job)
         if new:
-            self._lift(job.spec.needs)
+            self._propagate_urgency(job.spec.needs)
         return changed
 
     def remove(self, job_id: str) -> None:
-        """Forget a job that is not live any more."""
-        job = self._known.pop(job_id, None)
+        """Remove a job that is no longer live."""
+        job = self._linked.pop(job_id, None)
         self.cancelled_by.pop(job_id, None)
         if job is None:
             return
-        for need in job.spec.needs:
-            jobs = self.dependents.get(need, set())
-            jobs.discard(job_id)
-            if not jobs:
-                self.dependents.pop(need, None)
-                self._ends.pop(need, None)
-        self._lift(job.spec.needs)
+        for dependency in job.spec.needs:
+            live_dependents = self.dependents.get(dependency, set())
+            live_dependents.discard(job_id)
+            if not live_dependents:
+                self.dependents.pop(dependency, None)
+                self._done_us.pop(dependency, None)
+        self._propagate_urgency(job.spec.needs)
 
     def over(self, job_id: str, state: Any) -> set[str]:
-        """Note a final state; returns the ids of jobs whose readiness may have changed."""
-        if job_id not in self.dependents or job_id in self._ends:
+        """Record a job's final state; returns the ids of jobs whose readiness may have changed."""
+        if job_id not in self.dependents or job_id in self._done_us:
             return set()
-        self._note(job_id, state)
+        self._record_end(job_id, state)
         changed = set(self.dependents[job_id])
-        if self._ends[job_id] is None:
+        if self._done_us[job_id] is None:
             for dependent in self.dependents[job_id]:
-                changed |= self._cancel_with(dependent, job_id)
-        self._settle_all(changed)
+                changed |= self._mark_cancelled(dependent, job_id)
+        self._update_jobs(changed)
         return changed
 
     def completed(self, job_id: str, at_us: int) -> set[str]:
-        """Note that a small job counts as done, which its groups' records prove as finally as a final state."""
-        if job_id not in self.dependents or job_id in self._ends:
+        """Record that a small job counts as done; returns the ids of jobs whose readiness may have changed.
+
+        The group records prove that as reliably as a final state.
+        """
+        if job_id not in self.dependents or job_id in self._done_us:
             return set()
-        self._ends[job_id] = at_us
-        self._settle_all(self.dependents[job_id])
+        self._done_us[job_id] = at_us
+        self._update_jobs(self.dependents[job_id])
         return set(self.dependents[job_id])
 
-    def _note(self, job_id: str, state: Any) -> None:
-        # The version before did not write down when.
-        self._ends[job_id] = int(state.get("at_us", 0)) if state["status"] == "done" else None
+    def _record_end(self, job_id: str, state: Any) -> None:
+        # The previous version did not record the time.
+        self._done_us[job_id] = int(state.get("at_us", 0)) if state["status"] == "done" else None
+
+    def _is_cancelled(self, dependency: str) -> bool:
+        return dependency in self.cancelled_by or (dependency in self._done_us and self._done_us[dependency] is None)
 
-    def _cancelled(self, need: str) -> bool:
-        return need in self.cancelled_by or (need in self._ends and self._ends[need] is None)
+    def _mark_cancelled(self, job_id: str, dependency: str) -> set[str]:
+        """Count a job as cancelled with a dependency, and so its transitive dependents.
 
-    def _cancel_with(self, job_id: str, need: str) -> set[str]:
-        """Count a job as cancelled with a dependency, and all its transitive dependents; returns their ids."""
+        Returns the ids of those that did not count as cancelled before.
+        """
         cancelled: set[str] = set()
-        remaining = [(job_id, need)]
+        remaining = [(job_id, dependency)]
         while remaining:
-            job_id, need = remaining.pop()
+            job_id, dependency = remaining.pop()
             if job_id not in self.cancelled_by:
-                self.cancelled_by[job_id] = need
+                self.cancelled_by[job_id] = dependency
                 cancelled.add(job_id)
                 remaining += [(dependent, job_id) for dependent in self.dependents.get(job_id, ())]
         return cancelled
 
-    # What follows from it
+    # Queries and derived values
 
     def open(self, job: Job) -> list[str]:
-        """The dependencies that a job still waits on, as far as is known.
+        """Return the dependencies of a job that are not known to be done.
 
-        A job that has been placed was ready then and remains so: its dependencies may have been forgotten since.
+        There are none for a job that has been placed.  It was ready then and remains so, while the ends of its
+        dependencies may have been dropped since.
         """
         if not job.spec.needs or job.record.attempt:
             return []
-        return [need for need in job.spec.needs if self._ends.get(need) is None]
+        return [dependency for dependency in job.spec.needs if self._done_us.get(dependency) is None]
 
     def ready(self, job: Job) -> bool:
-        """Whether all dependencies of a job are done.  One whose end is unknown is not done."""
+        """Return whether all dependencies of a job are known to be done."""
         return not self.open(job)
 
     def unknown(self, job_ids: Iterable[str] | None = None) -> list[str]:
-        """Dependencies that are neither live nor known to be over, of all jobs or of some and what they wait on."""
+        """Return the dependencies that are neither live nor known to be over.
+
+        They are those of all live jobs, or those of `job_ids` and of their transitive live dependencies.
+        """
         found: dict[str, None] = {}
-        remaining = list(self._known if job_ids is None else job_ids)
+        remaining = list(self._linked if job_ids is None else job_ids)
         seen = set(remaining)
         while remaining:
             job = self._jobs.get(remaining.pop())
-            for need in self.open(job) if job is not None else ():
-                if need in self._jobs:
-                    if need not in seen:
-                        seen.add(need)
-                        remaining.append(need)
-                elif need not in self._ends:
-                    found[need] = None
+            for dependency in self.open(job) if job is not None else ():
+                if dependency in self._jobs:
+                    if dependency not in seen:
+                        seen.add(dependency)
+                        remaining.append(dependency)
+                elif dependency not in self._done_us:
+                    found[dependency] = None
         return list(found)
 
-    def _settle_all(self, job_ids: Iterable[str]) -> None:
+    def _update_jobs(self, job_ids: Iterable[str]) -> None:
         for job_id in job_ids:
             job = self._jobs.get(job_id)
             if job is not None:
-                self._settle(job)
+                self._update_job(job)
 
-    def _settle(self, job: Job) -> None:
-        """Work out since when a job has been ready, and its urgency: that of its most urgent dependent."""
-        ends = [self._ends.get(need) or 0 for need in job.spec.needs]
-        job.ready_us = max([job.record.accepted_us, *ends])
+    def _update_job(self, job: Job) -> None:
+        """Recompute since when a job has been ready, and its urgency.
+
+        The urgency is that of its most urgent dependent, if that is higher than its own.
+        """
+        done_us = [self._done_us.get(dependency) or 0 for dependency in job.spec.needs]
+        job.ready_us = max([job.record.accepted_us, *done_us])
         spec = job.spec
         job.priority, job.latest_us = spec.priority, None
         if spec.deadline_us is not None:
@@ -156,13 +172,13 @@
                 latest_us = dependent.latest_us - 2 * spec.estimate_us
                 job.latest_us = latest_us if job.latest_us is None else min(job.latest_us, latest_us)
 
-    def _lift(self, needs: Iterable[str]) -> None:
-        """Work out the urgency of some jobs again, and of their own dependencies as far as it changes."""
-        remaining = list(needs)
+    def _propagate_urgency(self, job_ids: Iterable[str]) -> None:
+        """Recompute the urgency of some jobs, and of their transitive dependencies as far as it changes."""
+        remaining = list(job_ids)
         while remaining:
             job = self._jobs.get(remaining.pop())
             if job is not None:
                 before = job.priority, job.latest_us
-                self._settle(job)
+                self._update_job(job)
                 if (job.priority, job.latest_us) != before:
                     remaining += job.spec.needs
--- a/ashtray/jobs/messages.py
+++ b/ashtray/jobs/messages.py
@@ -70,7 +70,7 @@
     if not JOB_ID.fullmatch(sub.name_id):
         raise Malformed("name_id is not job- and digits")
     needs = list(dict.fromkeys(sub.waits_on or ()))
-    if not all(JOB_ID.fullmatch(need) for need in needs):
+    if not all(JOB_ID.fullmatch(dependency) for dependency in needs):
         raise Malformed("waits_on holds what is not job- and digits")
     return sub.name_id, JobSpec(
         job_class=sub.lane,
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -107,7 +107,9 @@
         cluster_state = self.base.cluster_state
         known: bool | None = True
         while unknown := [
-            need for need in cluster_state.dependencies.unknown([job.id]) if need not in cluster_state.absent
+            dependency
+            for dependency in cluster_state.dependencies.unknown([job.id])
+            if dependency not in cluster_state.absent
         ]:
             known = None
             looking = self._looking.get(unknown[0])
@@ -127,12 +129,12 @@
         cluster_state = base.cluster_state
         if base.follower.loaded and cluster_state.changes != self._resolved:
             self._resolved = cluster_state.changes
-            for need in cluster_state.dependencies.unknown():
+            for dependency in cluster_state.dependencies.unknown():
                 if len(self._looking) >= MAX_RESOLVING:
                     self._resolved = -1
                     break
-                if need not in self._looking and need not in cluster_state.absent:
-                    self.kernel.spawn(self._resolve(need))
+                if dependency not in self._looking and dependency not in cluster_state.absent:
+                    self.kernel.spawn(self._resolve(dependency))
         yield Sleep(RESOLVE_US)
 
     def _resolve(self, job_id: str) -> Fiber[None]:
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -122,13 +122,13 @@
         if older:
             # It would drop what it does not know when it writes the job's record anew.
             return RetryLater(f"{', '.join(older)} does not know of jobs that wait on others yet")
-        for need in spec.needs:
-            if need in cluster_state.jobs or need in cluster_state.over:
+        for dependency in spec.needs:
+            if dependency in cluster_state.jobs or dependency in cluster_state.over:
                 continue
-            state = yield from self.states.look_up(need)
+            state = yield from self.states.look_up(dependency)
             if isinstance(state, NeverAccepted):
                 # Only what is surely not there is refused.
-                return Refused(422, f"{need} was never accepted")
+                return Refused(422, f"{dependency} was never accepted")
             if isinstance(state, RetryLater):
-                return RetryLater(f"{need} cannot be looked up")
+                return RetryLater(f"{dependency} cannot be looked up")
         return None
--- a/tests/mutants/announcements.py
+++ b/tests/mutants/announcements.py
@@ -6,12 +6,12 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "found-cancellations-are-not-announced": (
         CANCELLING,
-        'if state.status == "cancelled" and not known:',
+        'if state.status == "cancelled" and not was_over:',
         "if False:",
     ),
     "only-own-cancellations-are-announced": (
         CANCELLING,
-        'if state.status == "cancelled" and not known:',
+        'if state.status == "cancelled" and not was_over:',
         'if state.status == "cancelled" and attempts:',
     ),
 }
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -275,15 +275,15 @@
     "started-before-ready": (DEPENDENCIES, "return not self.open(job)", "return True"),
     "unknown-counts-as-done": (
         DEPENDENCIES,
-        "return [need for need in job.spec.needs if self._ends.get(need) is None]",
-        "return [need for need in job.spec.needs if need in self._jobs or self._ends.get(need, 0) is None]",
+        "return [dependency for dependency in job.spec.needs if self._done_us.get(dependency) is None]",
+        "return [n for n in job.spec.needs if n in self._jobs or self._done_us.get(n, 0) is None]",
     ),
     "cancellation-stays": (
         DEPENDENCIES,
         "remaining += [(dependent, job_id) for dependent in self.dependents.get(job_id, ())]",
         "pass",
     ),
-    "needed-not-read": (STATES, "self.kernel.spawn(self._resolve(need))", "pass"),
+    "needed-not-read": (STATES, "self.kernel.spawn(self._resolve(dependency))", "pass"),
     "answers-without-needs": (STATES, "known = yield from self._know_needs(job, urgency)", "known = True"),
     "never-accepted-not-looked-up": (
         SUBMITTING,
