--- a/ashtray/jobs/cancellations.py
+++ b/ashtray/jobs/cancellations.py
@@ -52,7 +52,8 @@
     def statement(self, followed_from: int | None, beyond: int | None) -> CancellationStatement:
         """Return what to tell a peer that has read up to revision `beyond`.
 
-        This controller has followed every write since revision `followed_from`, or has not read the records yet (None).
+        This controller has followed every write since revision `followed_from`; None means that it has not read the
+        records yet.
         The statement is not complete if a cancellation beyond `beyond` may be missing.
         """
         if followed_from is None or beyond is None:
--- a/ashtray/jobs/model.py
+++ b/ashtray/jobs/model.py
@@ -1,4 +1,4 @@
-"""What a job is, and the record kept of it in the state service."""
+"""Jobs and their records in the state service."""
 
 from __future__ import annotations
 
@@ -12,27 +12,33 @@
 ROOT = "ashtray/"
 NOW = "ashtray/now/"
 LIVE = "ashtray/now/job/"
+"""Prefix of the keys of live jobs' records."""
 OVER = "ashtray/over/"
+"""Prefix of the keys of final states, which are kept for ever."""
 MAX_TASKS = 100_000
+"""Most tasks of a job."""
 JOB_ID = re.compile(r"job-[0-9]{1,60}")
 PRIORITIES = ("production", "high", "normal", "low")
-
+"""The most urgent first; a job's priority is an index into this tuple."""
 
 MOST_LATER = 16
-"""Jobs of so many tasks count as done before their records are moved."""
+"""Jobs of at most so many tasks count as done once their group records say so, before their own records are moved."""
 UNLIMITED = 1 << 30
-FEW_RUNS = 100
-MOST_OPEN = 1280
+SHORT_RUNS_BYTES = 100
+"""Runs of finished tasks that take no more than this always fit into a job's record, and are not checked."""
+MAX_OPEN_TASKS = 1280
+"""Most tasks of an array that may have allocations at a time, if the runs of all its tasks may not fit its record."""
 SPARE_BYTES = 150
-"""Of a job's record, for machines on which it fails and counters that grow."""
+"""Bytes of a job's record kept free for machines on which the job fails and for counters that grow."""
 
 
 class JobSpec(msgspec.Struct, omit_defaults=True):
-    """A job as its user described it."""
+    """The description of a job, as its user submitted it."""
 
     job_class: str
     team: str
     kind: str
+    """`array`, `gang` or `service`."""
     priority: int
     tasks: int
     cpus: float
@@ -41,37 +47,44 @@
     image: str
     image_gb: float
     types: list[str] | None = None
+    """Allowed machine types; None: all."""
     zone: str | None = None
     same_zone: bool = False
     spread: bool = False
     spot: bool = False
     estimate_us: int = 0
+    """The user's estimate of a task's run time."""
     checkpoint_us: int = 0
+    """The interval between checkpoints."""
     save_us: int = 0
+    """How long it takes to save a checkpoint."""
     deadline_us: int | None = None
+    """The time from acceptance by which the job should be done."""
     needs: list[str] = []
-    """Jobs that must be done before any task of this one starts."""
+    """Ids of the jobs that must be done before any task of this job starts."""
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
-    """The record of a job that is not over yet."""
+    """The record of a live job."""
 
     spec: JobSpec
     owner: str
-    """The controller that accepted it."""
+    """The controller that accepted the job."""
     accepted_us: int
     attempt: int = 0
-    """The last attempt number given out."""
+    """The last attempt number that was assigned."""
     finished: str = ""
+    """The finished tasks, as runs (`ashtray.runs`)."""
     broken: int = 0
-    """A gang's attempts up to this one have failed: what is left of them is to be stopped."""
+    """A gang's attempts up to this number have failed; their remaining tasks are to be stopped."""
     errors: int = 0
     """Task failures since a task last completed."""
     error_us: int = 0
+    """When a task last failed, in microseconds of the time of day."""
     failed_on: list[str] = []
-    """Machines on which its tasks failed since one last completed, the latest last."""
+    """Machines on which tasks failed since a task last completed, the latest last."""
     portion: int = 0
-    """A gang that is placed in portions, all of one attempt: the tasks below this one have places."""
+    """For a gang that is placed in portions, all of one attempt: the tasks below this number have been placed."""
 
 
 class Job:
@@ -82,26 +95,26 @@
     def __init__(self, job_id: str, value: Any, version: int, most_bytes: int = UNLIMITED) -> None:
         self.id = job_id
         self.most_bytes = most_bytes
-        """What its record may take."""
+        """Most bytes that the job's record may take."""
         self.record = msgspec.convert(value, JobRecord)
         self.spec = self.record.spec
         self.version = version
         self.priority = self.spec.priority
-        """Its own, or that of a more urgent job that needs it."""
+        """The job's own priority, or that of a more urgent job that depends on it."""
         self.ready_us = self.record.accepted_us
-        """Since when nothing that it needs has been missing."""
+        """When the job was accepted or its last dependency was done, in microseconds of the time of day."""
         self.latest_us: int | None = None
-        """When it has to start, if a deadline, its own or that of a job that needs it, is to be met."""
+        """When the job must start to meet its own deadline and those of its dependents; None if there are none."""
         self.finished = decode_runs(self.record.finished)
 
     @property
     def suspect(self) -> bool:
-        """Whether it fails wherever it is tried: the fault is then likelier its own than the machines'."""
+        """Return whether the job failed on two machines or more: the fault is then more likely its own than theirs."""
         return len(self.record.failed_on) >= 2
 
     @property
     def portion(self) -> int:
-        """How many tasks of a gang that is being placed in portions have places; 0 when none is under way."""
+        """Return how many tasks of a gang that is being placed in portions have been placed; 0 for any other job."""
         return self.record.portion if self.record.attempt > self.record.broken else 0
 
     def value(
@@ -115,7 +128,7 @@
         portion: int | None = None,
         failed_on: list[str] | None = None,
     ) -> Any:
-        """The record with some fields replaced, ready to be written."""
+        """Return the record with some fields replaced, ready to be written."""
         old = self.record
         runs = old.finished if finished is None else encode_runs(finished)
         record = JobRecord(
@@ -130,27 +143,27 @@
             old.failed_on if failed_on is None else failed_on,
             old.portion if portion is None else portion,
         )
-        if len(runs) > FEW_RUNS:
-            room = self.most_bytes - (len(msgspec.json.encode(record)) - len(runs))
-            if len(runs) > room:
-                # A task that is forgotten here is started once more and ends at once, for its result is kept.  A
-                # record that cannot be written would hold up the whole job.
-                record.finished = longest_runs(runs, room)
+        if len(runs) > SHORT_RUNS_BYTES:
+            max_bytes = self.most_bytes - (len(msgspec.json.encode(record)) - len(runs))
+            if len(runs) > max_bytes:
+                # A finished task that is dropped here is started again and ends at once, because its result is kept.
+                # A record that is too large to be written would block the whole job.
+                record.finished = longest_runs(runs, max_bytes)
         return msgspec.to_builtins(record)
 
     @property
     def most_open(self) -> int:
-        """How many tasks of an array may hold room at once, so that what is finished fits into its record.
+        """Return how many tasks of an array may have allocations at a time for its finished tasks to fit into its record.
 
-        Tasks are placed lowest first, so the runs of finished tasks are hardly more than those that are open.
+        Tasks are placed lowest first, so there are hardly more runs of finished tasks than open tasks.
         """
         tasks = self.spec.tasks
         digits = len(str(tasks))
         if self.most_bytes >= tasks * (digits + 1):
             return tasks
-        rest = len(msgspec.json.encode(self.record)) - len(self.record.finished) + SPARE_BYTES
-        return max(min((self.most_bytes - rest) // (digits + 1), MOST_OPEN), 1)
+        other_bytes = len(msgspec.json.encode(self.record)) - len(self.record.finished) + SPARE_BYTES
+        return max(min((self.most_bytes - other_bytes) // (digits + 1), MAX_OPEN_TASKS), 1)
 
     def over(self, status: str, done: int, at_us: int) -> Any:
-        """The short record that is kept for ever once the job is over, at that time of day."""
+        """Return the job's final state, which is kept for ever; `at_us` is when the job ended, by the time of day."""
         return {"status": status, "done": done, "at_us": at_us}
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -10,7 +10,7 @@
 from ashtray.base import Base
 from ashtray.jobs.accepting import AcceptanceBatcher
 from ashtray.jobs.answers import Accepted, AnswerSender, NeverAccepted, Refused, RetryLater, UserAnswer
-from ashtray.jobs.model import FEW_RUNS, LIVE, SPARE_BYTES, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE, SHORT_RUNS_BYTES, SPARE_BYTES, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import Fiber
 from ashtray.peers.presence import Presence
@@ -102,7 +102,7 @@
 
     def _judge(self, spec: JobSpec, value: Any) -> Objection | None:
         """The objection that the job itself gives reason for."""
-        room = int(self.base.limits.least_value_bytes * VALUE_SHARE) - SPARE_BYTES - FEW_RUNS
+        room = int(self.base.limits.least_value_bytes * VALUE_SHARE) - SPARE_BYTES - SHORT_RUNS_BYTES
         size = len(msgspec.json.encode(value))
         if size > room:
             # It could be accepted, but never be written again.
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -309,7 +309,7 @@
     ),
     "record-grows-for-ever": (
         "ashtray/jobs/model.py",
-        "            if len(runs) > room:\n",
+        "            if len(runs) > max_bytes:\n",
         "            if False:\n",
     ),
     "own-change-counts-as-read": (CLUSTER_STATE, "return job.version <= self.upto and all(", "return True or all("),
