--- a/ashtray/jobs/model.py
+++ b/ashtray/jobs/model.py
@@ -109,7 +109,7 @@
 
     @property
     def suspect(self) -> bool:
-        """Return whether the job failed on two machines or more: the fault is then more likely its own than theirs."""
+        """Return whether the job failed on two machines or more: the fault is then likely its own, not theirs."""
         return len(self.record.failed_on) >= 2
 
     @property
@@ -153,9 +153,10 @@
 
     @property
     def most_open(self) -> int:
-        """Return how many tasks of an array may have allocations at a time for its finished tasks to fit into its record.
+        """Return how many tasks of an array may have allocations at a time.
 
-        Tasks are placed lowest first, so there are hardly more runs of finished tasks than open tasks.
+        The bound keeps the runs of finished tasks small enough for the job's record.  Tasks are placed lowest first,
+        so there are hardly more runs of finished tasks than open tasks.
         """
         tasks = self.spec.tasks
         digits = len(str(tasks))
