--- a/ashtray/jobs/answers.py
+++ b/ashtray/jobs/answers.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Why a live job's tasks wait, or why they run on their machines."""
+    """Why a live job's tasks wait or run where they do."""
 
     body: Any
 
--- a/ashtray/jobs/messages.py
+++ b/ashtray/jobs/messages.py
@@ -1,4 +1,4 @@
-"""The users' wire: submissions in, states out."""
+"""The users' protocol: parses submissions and builds bodies that tell states."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ashtray.kernel import SECOND_US
 
 MAX_BODY = 64 * 1024
-"""The largest body of a request, in bytes."""
+"""Largest size of a request's body, in bytes."""
 _KINDS = {"batch": "array", "gang": "gang", "service": "service"}
 _PRIORITIES = {"prod": "production", "urgent": "high", "standard": "normal", "idle": "low"}
 
@@ -20,7 +20,7 @@
 
 
 class Submission(msgspec.Struct):
-    """The body of `POST /submissions`, with the names and units of the protocol."""
+    """The body of `POST /submissions`, with the protocol's names and units (seconds, GB)."""
 
     name_id: str
     lane: Name
@@ -46,7 +46,7 @@
 
 
 class Malformed(Exception):
-    """A body that is not what the protocol asks for; the text is a short reason."""
+    """Raised for a body that violates the protocol; the text is a short reason."""
 
 
 def seconds_us(value: float) -> int:
@@ -55,43 +55,43 @@
 
 
 def parse_submission(body: Any) -> tuple[str, JobSpec]:
-    """Check a decoded body and convert it to a job's id and its description.
+    """Validate a decoded body and convert it to a job's id and its description.
 
-    Raises `Malformed` if the body is no map, lacks a field, or has one of a wrong type or out of its range.
+    Raises `Malformed` if the body is not a map, lacks a field, or has a field of a wrong type or out of its range.
     """
     try:
-        sub = msgspec.convert(body, Submission)
+        submission = msgspec.convert(body, Submission)
     except msgspec.ValidationError as error:
         raise Malformed(str(error)[:200]) from None
-    for field in sub.__struct_fields__:
-        value = getattr(sub, field)
+    for field in submission.__struct_fields__:
+        value = getattr(submission, field)
         if isinstance(value, float) and not math.isfinite(value):
             raise Malformed(f"{field} is not a finite number")
-    if not JOB_ID.fullmatch(sub.name_id):
-        raise Malformed("name_id is not job- and digits")
-    needs = list(dict.fromkeys(sub.waits_on or ()))
+    if not JOB_ID.fullmatch(submission.name_id):
+        raise Malformed("name_id is not `job-` followed by 1 to 60 digits")
+    needs = list(dict.fromkeys(submission.waits_on or ()))
     if not all(JOB_ID.fullmatch(dependency) for dependency in needs):
-        raise Malformed("waits_on holds what is not job- and digits")
-    return sub.name_id, JobSpec(
-        job_class=sub.lane,
-        team=sub.crew,
-        kind=_KINDS[sub.shape],
-        priority=PRIORITIES.index(_PRIORITIES[sub.urgency]),
-        tasks=sub.pieces,
-        cpus=float(sub.cpus),
-        gpus=float(sub.cards),
-        memory_gb=float(sub.memory_gb),
-        image=sub.bundle,
-        image_gb=float(sub.image_gb),
-        types=sub.hulls,
-        zone=sub.yard,
-        same_zone=sub.same_place,
-        spread=sub.spread,
-        spot=sub.loaners,
-        estimate_us=seconds_us(sub.expect_s),
-        checkpoint_us=seconds_us(sub.snapshot_every_s),
-        save_us=seconds_us(sub.snapshot_cost_s),
-        deadline_us=None if sub.due_s is None else seconds_us(sub.due_s),
+        raise Malformed("waits_on holds an id that is not `job-` followed by 1 to 60 digits")
+    return submission.name_id, JobSpec(
+        job_class=submission.lane,
+        team=submission.crew,
+        kind=_KINDS[submission.shape],
+        priority=PRIORITIES.index(_PRIORITIES[submission.urgency]),
+        tasks=submission.pieces,
+        cpus=float(submission.cpus),
+        gpus=float(submission.cards),
+        memory_gb=float(submission.memory_gb),
+        image=submission.bundle,
+        image_gb=float(submission.image_gb),
+        types=submission.hulls,
+        zone=submission.yard,
+        same_zone=submission.same_place,
+        spread=submission.spread,
+        spot=submission.loaners,
+        estimate_us=seconds_us(submission.expect_s),
+        checkpoint_us=seconds_us(submission.snapshot_every_s),
+        save_us=seconds_us(submission.snapshot_cost_s),
+        deadline_us=None if submission.due_s is None else seconds_us(submission.due_s),
         needs=needs,
     )
 
@@ -99,7 +99,7 @@
 def state_body(
     job_id: str, status: str, done: int | None = None, running: int | None = None, waits_on: list[str] | None = None
 ) -> dict[str, Any]:
-    """Return the body that tells a job's state; `running` is told only together with `done`."""
+    """Return the body that tells a job's state; without `done`, `running` is left out as well."""
     body: dict[str, Any] = {"name_id": job_id, "status": status}
     if done is not None:
         body["done"] = done
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -1,4 +1,4 @@
-"""The users' requests: each is checked, forwarded where this controller cannot read, or answered."""
+"""Entry points for users' requests: answers them, or forwards them while this controller cannot read."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ashtray.jobs.messages import Malformed, parse_submission
 from ashtray.jobs.model import Job
 from ashtray.jobs.states import JobStates
-from ashtray.jobs.submitting import Submitting
+from ashtray.jobs.submitting import SubmissionHandler
 from ashtray.kernel import Fiber
 from ashtray.peers.presence import Peers, Presence
 from ashtray.placement.explain import explain
@@ -21,14 +21,14 @@
 from ashtray.store.client import Urgency
 
 MAX_BACKLOG = 150
-"""Requests to the state service and submissions that may wait before a new submission is turned away."""
-BUSY = RetryLater("too much to do", 429, 2)
+"""New submissions are answered 429 while so many submissions and requests to the state service are waiting."""
+BUSY = RetryLater("too many requests are waiting", 429, 2)
 
 
 class JobService:
-    """Answers submissions, polls, cancellations and questions why a job waits.
+    """Answers submissions, polls, cancellations and requests to explain why a job waits.
 
-    `forwarded` says that a request was passed on by a peer: it is answered here and not passed on again.
+    A request that a peer has `forwarded` is answered here and not forwarded again.
     """
 
     def __init__(
@@ -38,22 +38,22 @@
         peers: Peers,
         planner: Planner,
         estimates: Estimates,
-        placed_anew: Callable[[], None],
+        on_placeable: Callable[[], None],
     ) -> None:
-        """`placed_anew` is told when there may be something new to place."""
+        """`on_placeable` is called when there may be something new to place."""
         self.base = base
         self.kernel = base.kernel
         self.presence = presence
         self.planner = planner
         self.estimates = estimates
         self.sender = AnswerSender(base.kernel)
-        self.states = JobStates(base, placed_anew)
+        self.states = JobStates(base, on_placeable)
         self.forwarder = Forwarder(base, presence, peers, self.sender)
-        self.submitting = Submitting(base, presence, self.states, self.sender, placed_anew)
+        self.submitting = SubmissionHandler(base, presence, self.states, self.sender, on_placeable)
         self.cancelling = CancellationHandler(base, presence, peers, self.states, self.sender)
 
     def submit(self, request_id: int, body: Any, forwarded: bool = False) -> None:
-        """Accept a job."""
+        """Handle a submission; `body` is the decoded body, None if it could not be decoded."""
         try:
             job_id, spec = parse_submission(body)
         except Malformed as error:
@@ -67,7 +67,7 @@
             self.kernel.spawn(self.submitting.submit(request_id, job_id, spec))
 
     def poll(self, request_id: int, job_id: str, forwarded: bool = False) -> None:
-        """Tell a job's state."""
+        """Answer a job's state."""
         final = self.states.final(job_id)
         if final is not None:
             self.sender.send(request_id, final)
@@ -87,7 +87,7 @@
             self.kernel.spawn(self.cancelling.cancel(request_id, job_id))
 
     def explain(self, request_id: int, job_id: str, forwarded: bool = False) -> None:
-        """Say why a job's tasks wait or run where they do; of one that is over, its state."""
+        """Answer why a job's tasks wait or run where they do; for a job that is over, answer its state."""
         if not self.forwarder.ready():
             self.forwarder.forward(request_id, UserRequest("GET", f"/submissions/{job_id}/explain"), forwarded)
         else:
@@ -105,6 +105,6 @@
         plan = self.planner.plan()
         owner = self.presence.owner_of(job.id, job.record.owner)
         standing = self.planner.times.standing(job, base.cluster_state, self.kernel.wall_us)
-        run = self.estimates.estimate(job)
-        served = self.planner.floor.shares.get((job.spec.team, job.spec.job_class))
-        return explain(plan, job, self.kernel.wall_us, owner, standing, run, served)
+        run_time = self.estimates.estimate(job)
+        minimum_share = self.planner.floor.shares.get((job.spec.team, job.spec.job_class))
+        return explain(plan, job, self.kernel.wall_us, owner, standing, run_time, minimum_share)
--- a/tests/mutants/close_looks.py
+++ b/tests/mutants/close_looks.py
@@ -19,7 +19,7 @@
     ),
     "repeat-judged-anew": (
         SUBMITTING,
-        "answer = yield from self._known_or(job_id, objection)",
+        "answer = yield from self._state_or(job_id, objection)",
         "answer = objection",
     ),
     "questions-answered-before-a-reload-is-over": (
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -284,7 +284,7 @@
         "pass",
     ),
     "needed-not-read": (STATES, "self.kernel.spawn(self._resolve(dependency))", "pass"),
-    "answers-without-needs": (STATES, "known = yield from self._know_needs(job, urgency)", "known = True"),
+    "answers-without-needs": (STATES, "known = yield from self._read_dependencies(job, urgency)", "known = True"),
     "never-accepted-not-looked-up": (
         SUBMITTING,
         "            if isinstance(state, NeverAccepted):\n                #",
