--- a/tests/answer_history.py
+++ b/tests/answer_history.py
@@ -1,4 +1,4 @@
-"""What users were told of jobs, and the check that no answer goes back."""
+"""Records what users were told of jobs, and checks that no answer contradicts an earlier one."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class WentBack(AssertionError):
-    """A controller answered something older than what a user had been told before."""
+    """An answer tells an older state of a job than an answer that was given before its request."""
 
 
 @dataclass(frozen=True)
 class Heard:
-    """What one request about a job was answered, and when: at moments of one clock, whichever that is."""
+    """The answer to one request about a job.  `asked` and `answered` are times of any clock, the same for all."""
 
     job_id: str
     kind: str
@@ -21,29 +21,29 @@
     asked: int
     answered: int
     told: str
-    """A state of the protocol, or `UNKNOWN` for a 404."""
+    """The state told, as in the protocol, or `UNKNOWN` for a 404."""
 
 
 @dataclass
 class AnswerHistory:
-    """All answers so far; times of questions and answers say which user could know what."""
+    """All answers so far, by job id."""
 
     heard: dict[str, list[Heard]] = field(default_factory=dict)
 
-    def add(self, new: Heard) -> None:
-        """Note an answer; raises `WentBack` if it is older than one that was given before its question was asked.
+    def add(self, latest: Heard) -> None:
+        """Record an answer; raises `WentBack` if it tells an older state than an answer given before its request.
 
-        `done` and `cancelled` exclude each other whatever the order of question and answer.
+        `done` and `cancelled` exclude each other, whatever the order of requests and answers.
         """
-        answers = self.heard.setdefault(new.job_id, [])
-        for old in answers:
-            before = old.answered < new.asked
-            taken_back = old.told in FINAL and new.told != old.told and (before or new.told in FINAL)
-            forgotten = before and old.told != UNKNOWN and new.told == UNKNOWN
+        answers = self.heard.setdefault(latest.job_id, [])
+        for earlier in answers:
+            in_order = earlier.answered < latest.asked
+            taken_back = earlier.told in FINAL and latest.told != earlier.told and (in_order or latest.told in FINAL)
+            forgotten = in_order and earlier.told != UNKNOWN and latest.told == UNKNOWN
             if taken_back or forgotten:
-                raise WentBack(f"{old.told} and then {new.told}: {old}, {new}")
-        answers.append(new)
+                raise WentBack(f"{earlier.told} and then {latest.told}: {earlier}, {latest}")
+        answers.append(latest)
 
     def told(self, job_id: str, *states: str) -> bool:
-        """Whether a user was told one of these states of a job."""
-        return any(heard.told in states for heard in self.heard.get(job_id, ()))
+        """Return whether a user was told one of these states of a job."""
+        return any(answer.told in states for answer in self.heard.get(job_id, ()))
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -459,12 +459,12 @@
     "started-before-ready": ["tests/test_pipelines.py"],
     "unknown-counts-as-done": ["tests/test_dependencies.py"],
     "cancellation-stays": [
-        "tests/test_pipelines.py::test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved"
+        "tests/test_pipelines.py::test_a_whole_chain_counts_as_cancelled_with_its_first_job_before_any_record_is_moved"
     ],
     "needed-not-read": ["tests/test_guards.py::test_final_states_of_needed_jobs_are_read_though_no_user_asks"],
     "answers-without-needs": ["tests/test_guards.py::test_an_answer_reads_what_it_does_not_know_of_the_jobs_before"],
     "never-accepted-not-looked-up": [
-        "tests/test_pipelines.py::test_a_job_never_accepted_and_the_job_itself_are_refused_and_the_former_only_until_it_is_accepted"
+        "tests/test_pipelines.py::test_a_dependency_on_the_job_itself_or_on_a_job_not_accepted_yet_is_refused"
     ],
     "lean-form-too-early": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
     "older-one-not-asked": ["tests/test_upgrade.py::test_both_versions_serve_side_by_side_until_all_are_new"],
@@ -475,11 +475,13 @@
     ],
     "record-grows-for-ever": ["tests/test_limits.py::test_a_record_in_fragments_keeps_the_longest_runs"],
     "own-change-counts-as-read": [
-        "tests/test_pipelines.py::test_a_fold_after_a_cancellation_that_was_not_read_yet_makes_nothing_done"
+        "tests/test_pipelines.py::test_a_fold_after_an_unread_cancellation_does_not_make_a_job_done"
+    ],
+    "late-change-comes-back": [
+        "tests/test_pipelines.py::test_a_late_answer_to_an_acceptance_does_not_bring_a_cancelled_job_back"
     ],
-    "late-change-comes-back": ["tests/test_pipelines.py::test_a_change_whose_answer_comes_late_brings_nothing_back"],
     "removed-comes-back": [
-        "tests/test_pipelines.py::test_what_this_process_removed_does_not_come_back_with_an_older_round"
+        "tests/test_pipelines.py::test_a_removed_job_does_not_come_back_with_an_older_round_of_reads"
     ],
     "split-not-guarded-by-cancellation": [
         "tests/test_bad_nights.py::test_the_cancellation_of_a_small_job_depends_on_the_groups_that_could_end_it"
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Jobs that wait on others."""
+"""Jobs with dependencies."""
 
 import msgspec
 import pytest
@@ -21,11 +21,13 @@
 
 
 def ask(model: Model, body: dict, host: int = 0) -> tuple[int, dict]:
-    """The answer to a submission, whatever it is."""
+    """Submit a job to a controller; returns the status and the body of the answer, whatever they are."""
     found: list[tuple[int, dict]] = []
     model.waiting[10**6] = lambda status, answer: found.append((status, answer))
-    at = model.hosts[host]
-    model.carry_out(at, at.core.request(*model.clock(at), 10**6, "POST", "/submissions", body))
+    controller = model.hosts[host]
+    model.carry_out(
+        controller, controller.core.request(*model.clock(controller), 10**6, "POST", "/submissions", body)
+    )
     model.run(3)
     return found[0]
 
@@ -41,7 +43,7 @@
     assert {job.told for job in model.jobs.values()} == {"done"}
 
 
-def test_a_job_that_waits_is_pending_and_holds_nothing():
+def test_a_job_with_an_open_dependency_is_pending_and_has_no_allocations():
     model = started()
     model.submit(submission("job-0", shape="service", pieces=1))
     model.run(1)
@@ -57,14 +59,14 @@
 
 
 @pytest.mark.parametrize("needs", [["job-77"], ["job-1"]])
-def test_a_job_never_accepted_and_the_job_itself_are_refused_and_the_former_only_until_it_is_accepted(needs):
+def test_a_dependency_on_the_job_itself_or_on_a_job_not_accepted_yet_is_refused(needs):
     model = started()
     assert ask(model, submission("job-1", waits_on=needs))[0] == 422
     assert ask(model, submission("job-77"))[0] == 201
     assert ask(model, submission("job-1", waits_on=needs), 1)[0] == (201 if needs == ["job-77"] else 422)
 
 
-def test_whether_a_needed_job_was_accepted_is_never_guessed():
+def test_a_submission_is_put_off_while_its_dependency_cannot_be_read():
     model = started()
     model.state.down = True
     model.run(1)
@@ -72,19 +74,19 @@
     assert status == 503
 
 
-def test_a_known_job_gets_its_state_whatever_it_names_now():
+def test_a_repeated_submission_gets_the_jobs_state_whatever_dependencies_it_names():
     model = started()
     assert ask(model, submission("job-1"))[0] == 201
     assert ask(model, submission("job-1", waits_on=["job-77"]), 1)[0] == 200
 
 
 @pytest.mark.parametrize("waits_on", ["job-1", [1], ["job"], [["job-1"]], {"job-1": 1}])
-def test_what_is_no_list_of_ids_is_malformed(waits_on):
+def test_waits_on_that_is_not_a_list_of_job_ids_is_malformed(waits_on):
     with pytest.raises(Malformed):
         parse_submission(submission("job-0", waits_on=waits_on))
 
 
-def test_more_needs_than_a_record_holds_are_refused_with_a_reason():
+def test_more_dependencies_than_a_record_holds_are_refused_with_a_reason():
     model = started()
     status, body = ask(model, submission("job-0", waits_on=[f"job-{n}" for n in range(1, 4000)]))
     assert status == 400
@@ -92,11 +94,11 @@
 
 
 @pytest.mark.parametrize("waits_on", [None, []])
-def test_no_needs_may_be_said_in_two_ways(waits_on):
+def test_null_and_an_empty_list_both_mean_no_dependencies(waits_on):
     assert parse_submission(submission("job-0", waits_on=waits_on))[1].needs == []
 
 
-def test_a_cancellation_reaches_all_jobs_after_it_whichever_controller_is_asked():
+def test_a_cancellation_reaches_all_transitive_dependents_on_every_controller():
     model = started()
     model.submit(submission("job-0", shape="service", pieces=1))
     model.run(1)
@@ -109,7 +111,7 @@
         for n in range(6):
             status, body = ask(model, submission(f"job-{n}"), host)
             assert (status, body["status"]) == (200, "cancelled")
-    # One that names a cancelled job is accepted, and cancelled with it.
+    # A job that depends on a cancelled job is accepted, and cancelled with it.
     assert ask(model, submission("job-9", waits_on=["job-5"]))[0] == 201
     assert ask(model, submission("job-9"), 2)[1]["status"] == "cancelled"
     model.run(20)
@@ -117,7 +119,7 @@
     assert all(model.state.keys[f"{OVER}job-{n}"][0]["status"] == "cancelled" for n in (0, 3, 5, 9))
 
 
-def test_what_is_needed_and_ended_before_all_restarted_is_read_again():
+def test_final_states_of_dependencies_are_read_again_after_all_controllers_restart():
     model = started()
     model.submit(submission("job-0", pieces=1))
     model.submit(submission("job-1", shape="service", pieces=1))
@@ -137,7 +139,7 @@
     assert ask(model, submission("job-2"), 1)[1]["status"] == "cancelled"
 
 
-def test_stages_rank_as_the_most_urgent_job_that_needs_them_while_it_is_there():
+def test_dependencies_have_the_urgency_of_their_most_urgent_live_dependent():
     cluster_state = ClusterState()
     put(cluster_state, "job-1", 3, estimate_us=SECOND)
     put(cluster_state, "job-2", 3, needs=["job-1"], estimate_us=SECOND)
@@ -152,7 +154,7 @@
     assert jobs["job-1"].latest_us is None
 
 
-def test_times_count_from_the_moment_when_the_last_needed_job_was_done():
+def test_a_job_is_ready_from_the_moment_when_its_last_dependency_was_done():
     cluster_state = ClusterState()
     put(cluster_state, "job-1", 2)
     put(cluster_state, "job-2", 2, needs=["job-1", "job-0"])
@@ -165,13 +167,14 @@
     assert cluster_state.waiting() == {"job-2": [0]}
 
 
-def put(cluster_state, job_id: str, priority: int, version: int = 3, **over) -> None:
-    spec = JobSpec("any", "crew", "array", priority, 1, 1.0, 0.0, 1.0, "img", 1.0, **over)
+def put(cluster_state, job_id: str, priority: int, version: int = 3, **fields) -> None:
+    spec = JobSpec("any", "crew", "array", priority, 1, 1.0, 0.0, 1.0, "img", 1.0, **fields)
     cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), version)
 
 
-def test_the_next_stage_does_not_wait_for_lazy_folds():
-    # Found on simulated days: where no controller heard of all that was left of a job, its end waited up to 20 s.
+def test_the_next_stage_does_not_wait_for_delayed_folds():
+    # When a job's last workers report to different controllers, no controller knows from its own reports that the job
+    # is done.  With folds delayed because writes are scarce, its dependents waited up to 20 s.
     model = Model(7, knobs=OperatorSettings(group_size=1), following=(2.0, 5))
     model.run(3)
     for host in model.hosts:
@@ -185,14 +188,14 @@
         model.run(0.25)
         if len(model.jobs["job-0"].finished) == 18:
             break
-    reporting = [sum(bool(w.heard_us) for w in host.core.desk.workers.values()) for host in model.hosts]
-    assert sum(n > 0 for n in reporting) > 1
+    workers_reporting = [sum(bool(w.heard_us) for w in host.core.desk.workers.values()) for host in model.hosts]
+    assert sum(n > 0 for n in workers_reporting) > 1
     before = model.starts
     model.run(6)
     assert model.starts == before + 1
 
 
-def test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved():
+def test_a_whole_chain_counts_as_cancelled_with_its_first_job_before_any_record_is_moved():
     cluster_state = ClusterState()
     put(cluster_state, "job-0", 2)
     for n in range(1, 5):
@@ -202,31 +205,32 @@
     assert set(cluster_state.dependencies.cancelled_by) == {"job-1", "job-2", "job-3", "job-4"}
 
 
-def blind(model: Model, number: int) -> list[bool]:
-    """While the flag is set, a controller hears of no change by others; its commits go through.
+def block_reads(model: Model, number: int) -> list[bool]:
+    """Keep a controller from learning of other controllers' writes, while the returned flag is set.
 
-    Its reads of changes get no answer, and neither do its words to peers, whose answers state cancellations, nor the
-    peers' announcements of these.
+    Its reads of changes time out, and so do its heartbeats, whose answers state cancellations, and its peers'
+    announcements of cancellations.  Its commits go through.
     """
-    flag = [True]
+    blocked = [True]
     send = model.send
 
     def dropping(source, call, deliver):
-        unread = source == f"c{number}" and call.path.startswith(("/follow", "/peer/word"))
-        unheard = call.address.startswith(f"p{number}:") and call.path == "/peer/cancelled"
-        if flag[0] and (unread or unheard):
+        is_query = source == f"c{number}" and call.path.startswith(("/follow", "/peer/word"))
+        is_announcement = call.address.startswith(f"p{number}:") and call.path == "/peer/cancelled"
+        if blocked[0] and (is_query or is_announcement):
             model.at(call.timeout_us, lambda: deliver(Reply(0)))
         else:
             send(source, call, deliver)
 
     model.send = dropping
-    return flag
+    return blocked
 
 
 @pytest.mark.parametrize(("shape", "pieces"), [("gang", 2), ("batch", 1)])
-def test_a_fold_after_a_cancellation_that_was_not_read_yet_makes_nothing_done(shape, pieces):
-    # Found on a simulated day and by the model: the controller that folded took a job for done by its own change,
-    # without the cancellation before it, called the jobs after it pending for ever, and let them run.
+def test_a_fold_after_an_unread_cancellation_does_not_make_a_job_done(shape, pieces):
+    # A controller folds the end of a job that another controller has just cancelled.  If it counted the job as done
+    # by its own write, without the cancellation before it, it would tell users for ever that the dependents are
+    # pending, and run them.
     model = Model(7, knobs=OperatorSettings(group_size=4))
     model.checks()
     model.run(3)
@@ -235,13 +239,13 @@
     model.submit(submission("job-1", crew="free", waits_on=["job-0"]))
     while sum(task.state == "running" for w in model.workers.values() for task in w.tasks.values()) < pieces:
         model.run(0.1)
-    folds = next(host for host in model.hosts if any(w.heard_us for w in host.core.desk.workers.values()))
+    folding_host = next(host for host in model.hosts if any(w.heard_us for w in host.core.desk.workers.values()))
     ends_us = min(task.end_us for w in model.workers.values() for task in w.tasks.values())
     model.run(max((ends_us - model.now) / SECOND - 0.8, 0.0))
-    # Just before their end, for the workers of one that cannot read are soon sent to others.
-    flag = blind(model, folds.number)
+    # Reads are blocked only just before the tasks end, because workers of a controller that cannot read soon move.
+    blocked = block_reads(model, folding_host.number)
     model.run(0.3)
-    assert abort(model, "job-0", (folds.number + 1) % 3) == (200, {"name_id": "job-0", "status": "cancelled"})
+    assert abort(model, "job-0", (folding_host.number + 1) % 3) == (200, {"name_id": "job-0", "status": "cancelled"})
     for _ in range(100):
         model.run(0.1)
         groups = [value for key, (value, *_) in model.state.keys.items() if key.startswith("ashtray/now/group/")]
@@ -249,7 +253,7 @@
             break
     else:
         raise AssertionError("nothing was folded")
-    flag[0] = False
+    blocked[0] = False
     model.run(3)
     told = {ask(model, submission(job), host)[1]["status"] for host in range(3) for job in ("job-0", "job-1")}
     assert told == {"cancelled"}
@@ -260,39 +264,46 @@
     if job_id in model.jobs:
         model.jobs[job_id].cancel_asked = True
     model.waiting[10**6 + 1] = lambda status, answer: found.append((status, answer))
-    at = model.hosts[host]
-    model.carry_out(at, at.core.request(*model.clock(at), 10**6 + 1, "POST", f"/submissions/{job_id}/abort", None))
-    # Peers that do not answer its announcement are waited for 0.3 s.
+    controller = model.hosts[host]
+    model.carry_out(
+        controller,
+        controller.core.request(*model.clock(controller), 10**6 + 1, "POST", f"/submissions/{job_id}/abort", None),
+    )
+    # The controller waits up to 0.3 s for peers that do not answer its announcement.
     model.run(0.4)
     return found[0]
 
 
-def test_a_change_whose_answer_comes_late_brings_nothing_back():
-    # What was read since may include its end: it stood in the cluster state for ever, and was placed again and again.
+def test_a_late_answer_to_an_acceptance_does_not_bring_a_cancelled_job_back():
+    # The answer comes after the cancellation of the job was read.  If it were shown then, the job would stay in the
+    # cluster state for ever and be placed again and again.
     model = started()
-    late: list = []
+    late_replies: list = []
     send = model.send
 
-    def slow(source, call, deliver):
+    def delaying(source, call, deliver):
         txn = call.body["apply"] if call.path == "/txn" else []
         accepts = any(change.get("put") == f"{LIVE}job-1" for change in txn)
-        send(source, call, (lambda reply: late.append((deliver, reply))) if accepts else deliver)
-
-    model.send = slow
-    at = model.hosts[0]
-    model.carry_out(at, at.core.request(*model.clock(at), 10**6, "POST", "/submissions", submission("job-1")))
+        send(source, call, (lambda reply: late_replies.append((deliver, reply))) if accepts else deliver)
+
+    model.send = delaying
+    controller = model.hosts[0]
+    model.carry_out(
+        controller,
+        controller.core.request(*model.clock(controller), 10**6, "POST", "/submissions", submission("job-1")),
+    )
     model.run(0.3)
     model.send = send
     assert abort(model, "job-1", 1)[1]["status"] == "cancelled"
     model.run(0.4)
-    deliver, reply = late[0]
+    deliver, reply = late_replies[0]
     assert reply.status == 200
     deliver(reply)
     model.run(0.3)
-    assert not at.core.cluster_state.jobs
+    assert not controller.core.cluster_state.jobs
 
 
-def test_what_this_process_removed_does_not_come_back_with_an_older_round():
+def test_a_removed_job_does_not_come_back_with_an_older_round_of_reads():
     cluster_state = ClusterState()
     cluster_state.read(3)
     put(cluster_state, "job-1", 2, version=4)
