--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -72,9 +72,9 @@
             return None
         txn = Txn()
         if job.spec.kind != "service" and job.spec.tasks <= MOST_LATER:
-            # Such a job counts as done once its group records say that all tasks are done.  The transaction must fail
-            # if a group record has changed to say so meanwhile.  A fold of this process counts here before it was
-            # read back, because other controllers may have read it already (point 13).
+            # Such a job counts as done once its group records say that all its tasks are done, so the transaction
+            # must fail if one of them was written meanwhile.  What this process has just folded into group records
+            # counts here before it is read back, because other controllers may have read it already (point 13).
             if cluster_state.all_done(job):
                 return None
             groups = {cluster_state.machines[name].group for name, _ in cluster_state.allocations.get(job_id, ())}
