--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -101,7 +101,7 @@
     ask = plan.ask(job)
     blocked: Counter[str] = Counter()
     for room in rooms:
-        broken = next((rule for rule in VALIDATORS if not rule.holds(room, ask)), None)
+        broken = next((rule for rule in VALIDATORS if not rule.allows(room, ask)), None)
         blocked[broken.reason if broken else "has room, and jobs before it may take it"] += 1
     reasons += [f"{number} machines: {reason}" for reason, number in blocked.most_common()]
     if not rooms:
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -1,4 +1,4 @@
-"""The placer: gives this controller's jobs their places, one conditional transaction each."""
+"""The placer assigns machines to the waiting jobs of this controller, in one conditional transaction per batch."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ashtray.peers.presence import Presence
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_edit import GroupEdit
-from ashtray.placement.plan import IMAGE_BYTES, Choice, Plan, Planner, demand
+from ashtray.placement.plan import IMAGE_ENTRY_BYTES, Choice, Plan, Planner, demand
 from ashtray.placement.preemption import Right, Victims, choose_victims, stop_for
 from ashtray.placement.prospects import Prospects
 from ashtray.placement.records import AMOUNT_TOLERANCE, AllocationRecord
@@ -25,49 +25,57 @@
 from ashtray.workers.folding import Fold
 
 RETRY_US = SECOND_US // 2
-RIPE_US = SECOND_US
-OVERRIPE_US = 4 * SECOND_US
-RESHARE_US = SECOND_US // 4
-MAX_RESHARE_US = SECOND_US
-YIELD_US = 6 * RESHARE_US
-"""For so long a controller whose share was lowered by another asks for none, unless for urgent jobs or gangs."""
-HOLD_BYTES = 160
+"""The longest pause between rounds without a wake-up signal."""
+DEFER_AFTER_US = SECOND_US
+DEFER_UNTIL_US = 4 * SECOND_US
+"""While an urgent job of another controller has had capacity for a time between these two, other jobs give way."""
+RESHARE_PAUSE_US = SECOND_US // 4
+MAX_RESHARE_PAUSE_US = SECOND_US
+"""The shortest and the longest pause between two changes of a team's shares."""
+SHARE_YIELD_US = 6 * RESHARE_PAUSE_US
+"""How long a controller does not ask for a share that another one has lowered, unless for urgent jobs or gangs."""
+ALLOCATION_BYTES = 160
 JOB_BYTES = 600
-"""About what a hold, and a job's record, take of a transaction."""
-IMAGES_SHARE = 0.05
-"""Of a value, what the names of one machine's cached images may take."""
-PAUSE_US = 100_000
-FENCE_US = 60_000
-"""For each live controller, how long one may wait for another's fence."""
-MOST_VAIN = 2
-PARTIAL_US = 800_000
-SCARCE_PARTIAL_US = 3 * SECOND_US
-WORTH_PLACES = 4
-"""While changes are scarce, a part of an array goes to a group of its own accord with so many places only."""
-STALE_US = SECOND_US
-"""A plan is followed no longer: jobs that came in meanwhile may go first."""
-JOB_VISITS = 30
-VISIT_US = 26
-"""For each room looked at a round pauses as long again, so that a long queue leaves time for the rest."""
-
-
-MOST_SHORT = 8
-"""So many gangs of a team that its share does not allow are remembered in one round, at the most."""
+"""Estimated bytes that one allocation, and one job's record, take in a transaction."""
+MAX_IMAGES_SHARE = 0.05
+"""The part of a value's maximum size that the names of one machine's cached images may take."""
+ROUND_PAUSE_US = 100_000
+"""The shortest pause after a round; idle rounds in a row double it up to `MAX_IDLE_ROUNDS` times."""
+FENCE_DELAY_US = 60_000
+"""Per live controller, the upper bound of the random delay before writing a fence."""
+MAX_IDLE_ROUNDS = 2
+PARTIAL_PAUSE_US = 800_000
+SCARCE_PARTIAL_PAUSE_US = 3 * SECOND_US
+"""The pause between two placements of parts of the same array; the longer one while writes are scarce."""
+MIN_TASKS_PER_WRITE = 4
+"""While writes are scarce, a part of an array causes a write to a group's record only if it places this many
+tasks."""
+MAX_PLAN_AGE_US = SECOND_US
+"""The maximum age of a plan: jobs that arrived since it was made may have to go first."""
+JOB_COST = 30
+"""A job in the queue counts as this many checked machines."""
+VISIT_PAUSE_US = 26
+"""The pause after a round for each machine that it checked.  It is about as long as the check took, so that a long
+queue leaves processor time for other work."""
+
+
+MAX_SHORT_GANGS = 8
+"""The maximum number of gangs per team, beyond its share of the limit, that one round remembers."""
 
 
 @dataclass(frozen=True)
 class ShortJob:
-    """A job that could be placed if its controller's share of the team's limit allowed it."""
+    """A job that needs a larger share of its team's limit for its controller before it can be placed."""
 
     job: Job
     count: int
-    """How many of its tasks."""
+    """The number of its tasks to place."""
     turn: int
-    """Its place in the queue."""
+    """Its position in the queue."""
 
 
 class Placer:
-    """Serves the queue of jobs that wait: plans, commits placements, and sees to the shares of limits."""
+    """Plans and commits placements for the waiting jobs and requests the shares of team limits that they need."""
 
     def __init__(
         self, base: Base, presence: Presence, grants: Grants, pace: Pace, planner: Planner, desk: Desk
@@ -78,59 +86,65 @@
         self.pace = pace
         self.planner = planner
         self.desk = desk
-        self.window: deque[bool] = deque(maxlen=base.knobs.window)
-        """For the last commits, whether each failed."""
+        self._recent_failures: deque[bool] = deque(maxlen=base.knobs.window)
+        """For each of the last commits, whether it failed."""
         self.kick = Signal()
-        self._seen = -1
+        self._seen_changes = -1
         self._partial_us: dict[str, int] = {}
-        self._ripe: dict[str, int] = {}
-        """Since when urgent jobs of other controllers have had room in the plan."""
+        self._urgent_since_us: dict[str, int] = {}
+        """Since when, in microseconds, the plans have found free capacity for urgent jobs of other controllers, by
+        job id."""
         self.counts: Counter[str] = Counter()
-        """What the work went into since the last report."""
-        self._hurry = False
-        self._commits = self._vain = 0
-        """Commits tried, and rounds in a row that came to none though there was something to place."""
-        self._sent: tuple[Txn, list[str]] = (Txn(), [])
-        """The last commit, and the teams with a limit that it placed for."""
-        self._folds: set[str] = set()
-        """The machines whose reports went with it."""
-        self._short: dict[str, list[ShortJob]] = {}
-        """By team, the first jobs that this controller's share of the limit does not allow, in their order."""
+        """Counters of the work done since they were last logged."""
+        self._round_requested = False
+        self._commits = self._idle_rounds = 0
+        """The number of commits tried, and of consecutive rounds that had work but tried no commit."""
+        self._last_commit: tuple[Txn, list[str]] = (Txn(), [])
+        """The last transaction, and the teams with a limit whose tasks it placed."""
+        self._last_folded: set[str] = set()
+        """The machines whose reports the last transaction folded into its group records."""
+        self._short_jobs: dict[str, list[ShortJob]] = {}
+        """By team, the first jobs in queue order that need more than this controller's share of the limit."""
         self._queue: list[Job] = []
-        """As it was last served."""
+        """The queue as of the last round."""
         self._reshared: dict[str, tuple[int, int]] = {}
-        """When a team's shares were last changed here, and how long to wait before they are again."""
+        """By team, when this controller last tried to change the shares, and how long to wait before the next
+        change."""
         self._own_shares: dict[str, Share] = {}
-        """This controller's share of each team's limit when it last saw to it."""
+        """This controller's share of each team's limit when `_yields_share` last checked it."""
 
-    def widen(self) -> float:
-        """The chance of a pick among the best few: it rises with conflicts, up to a cap."""
-        if not self.window:
+    def pick_chance(self) -> float:
+        """Return the probability of a random choice among the best machines; it rises with conflicts, up to a cap."""
+        if not self._recent_failures:
             return 0.0
-        return min(sum(self.window) / len(self.window), self.base.knobs.widen_cap)
+        return min(sum(self._recent_failures) / len(self._recent_failures), self.base.knobs.widen_cap)
 
     def run(self) -> Fiber[None]:
-        """Serve the queue again and again: after changes, or after a pause."""
+        """Run placement rounds forever: after a change of the cluster state, after `RETRY_US`, or at once if
+        requested."""
         while True:
-            if not self._hurry:
+            if not self._round_requested:
                 yield Wait(self.kick, RETRY_US)
-            self._hurry = False
+            self._round_requested = False
             if self.base.follower.loaded and self.presence.incarnation:
-                self._seen = self.base.cluster_state.changes
+                self._seen_changes = self.base.cluster_state.changes
                 commits = self._commits
-                work_us = VISIT_US * (yield from self._round())
-                # In a full fleet round after round finds no room: each of them makes the next one later.
-                self._vain = 0 if commits != self._commits or not work_us else min(self._vain + 1, MOST_VAIN)
-                # One that is behind plans seldomer: what it has decided would come late, and reports with it.
-                yield Sleep(PAUSE_US * 2**self._vain + work_us + self.base.kernel.behind_us)
+                work_us = VISIT_PAUSE_US * (yield from self._round())
+                # In a full fleet, round after round finds no free capacity: each such round lengthens the pause.
+                self._idle_rounds = (
+                    0 if commits != self._commits or not work_us else min(self._idle_rounds + 1, MAX_IDLE_ROUNDS)
+                )
+                # A controller that lags behind plans less often: otherwise its decisions, and its handling of
+                # reports, are late.
+                yield Sleep(ROUND_PAUSE_US * 2**self._idle_rounds + work_us + self.base.kernel.behind_us)
 
     def changed(self) -> None:
-        """Wake the loop if the cluster state has changed since the last round."""
-        if self.base.cluster_state.changes != self._seen:
+        """Wake the placement loop if the cluster state has changed since the last round."""
+        if self.base.cluster_state.changes != self._seen_changes:
             self.base.kernel.fire(self.kick)
 
     def _round(self) -> Fiber[int]:
-        """Serve the queue once; returns how many jobs and rooms were looked at."""
+        """Process the queue once and return the cost, in checked machines; a job counts as `JOB_COST` of them."""
         base = self.base
         cluster_state = base.cluster_state
         if not any(self.presence.mine(cluster_state.jobs[job_id]) for job_id in cluster_state.waiting()):
@@ -139,180 +153,184 @@
         self.counts["rounds"] += 1
         plan = self.planner.plan()
         plan.add_freed(self.desk.light().freed)
-        plan.due = self.desk.due()
-        plan.sparing = base.store.changes.scarce()
-        jobs, inside = self.planner.queue()
+        plan.due_groups = self.desk.due()
+        plan.writes_scarce = base.store.changes.scarce()
+        jobs, guaranteed = self.planner.queue()
         self._queue = list(jobs)
         while jobs and not self.presence.mine(jobs[-1]):
             jobs.pop()
         self._partial_us = {j: at for j, at in self._partial_us.items() if j in cluster_state.jobs}
         try:
-            yield from self._serve(plan, jobs, inside)
+            yield from self._serve(plan, jobs, guaranteed)
         finally:
             self.counts["jobs looked at"] += len(jobs)
             self.counts["rooms looked at"] += plan.visits
-        return plan.visits + JOB_VISITS * len(jobs)
+        return plan.visits + JOB_COST * len(jobs)
 
     def _fence(self) -> Fiber[None]:
-        """See that nothing of this controller is on its way for teams with a limit, before placing for them.
+        """Fence off this controller's placements with an unknown outcome, for the teams with a limit whose jobs wait.
 
-        When all controllers start together, one's fence serves all of them: who sees it in time writes none.
+        When all controllers start together, one fence serves all of them: a controller that sees it in time writes
+        none.
         """
         base = self.base
         jobs = base.cluster_state.jobs
-        waits = {
+        waiting_teams = {
             jobs[job_id].spec.team for job_id in base.cluster_state.waiting() if self.presence.mine(jobs[job_id])
         }
-        teams = sorted(team for team in waits if self.grants.limited(team) and not self.grants.ready(team))
+        teams = sorted(team for team in waiting_teams if self.grants.limited(team) and not self.grants.ready(team))
         if teams:
-            yield Sleep(int(base.kernel.rng.random() * FENCE_US * len(self.presence.live())))
+            yield Sleep(int(base.kernel.rng.random() * FENCE_DELAY_US * len(self.presence.live())))
             build = partial(self.grants.fence, teams)
             yield from base.follower.commit(build, len(teams), Urgency.ACCEPT, "share")
-            # What was placed before the fence, by this process or one before it, is in the cluster state then.
+            # After that, the cluster state shows all that this process or its predecessor placed before the fence.
             yield from base.follower.barrier()
 
-    def _serve(self, plan: Plan, jobs: list[Job], inside: set[str]) -> Fiber[None]:
+    def _serve(self, plan: Plan, jobs: list[Job], guaranteed: set[str]) -> Fiber[None]:
         base = self.base
-        began_us = base.kernel.now_us
+        round_began_us = base.kernel.now_us
         batch = Batch(base.cluster_state, base.limits)
         freed = {id(room) for room in plan.freed}
-        ripe: dict[str, int] = {}
-        theirs: dict[tuple[str, str], Share] = {}
+        urgent_since_us: dict[str, int] = {}
+        peer_usage: dict[tuple[str, str], Share] = {}
         for turn, job in enumerate(jobs):
-            if base.kernel.now_us - began_us > STALE_US:
-                self._again()
+            if base.kernel.now_us - round_began_us > MAX_PLAN_AGE_US:
+                self._request_round()
                 break
             mine = self.presence.mine(job)
-            # What a share allows is this controller's to use, whoever comes first in the queue elsewhere: counted on
-            # the plan, it stood idle until it had been moved to them.
+            # This controller may use up its share whatever comes first in the queue of another one.  If the share
+            # were counted against the plan's limit, it would stay unused until it had been moved to the other
+            # controllers.
             shared = mine and self.grants.limited(job.spec.team)
             tasks = plan.wanted(job, base.kernel.wall_us, shared)
             urgent = job.priority <= URGENT and not job.suspect
             if not mine and not urgent:
-                tasks = self._placeable(job, tasks, theirs)
+                tasks = self._within_owner_share(job, tasks, peer_usage)
             if not tasks:
                 continue
             begins = job.id in self.planner.times.begins and job.spec.kind != "gang"
-            if plan.sparing and not mine and not urgent:
-                # It waits for its controller's changes rather than for room: found by a profile, planning for the
-                # others' jobs took half of the processor time, and their places were not taken for a long time.
+            if plan.writes_scarce and not mine and not urgent:
+                # Its controller lacks writes rather than free capacity.  Otherwise planning for the jobs of other
+                # controllers takes half of the processor time, and the capacity reserved for them stays unused for a
+                # long time.
                 continue
-            widen = self.widen() if mine else 0.0
+            pick_chance = self.pick_chance() if mine else 0.0
             need = len(tasks) if job.spec.kind == "gang" else 1
             if shared and not self._share_allows(plan, job, need, batch, turn):
                 continue
             choices: list[Choice] = []
-            # A class with an aim on waiting first looks where its image is there in time.
+            # For a class with an objective on waiting time, first try the machines that have its image in time.
             aim_s = self.pace.urgent.get(job.spec.job_class)
             for within_s in (None,) if aim_s is None else (0.8 * aim_s, None):
-                # Room that only this controller knows of yet is for its own jobs, or for urgent ones: the others
-                # could not be placed there, and it would stand empty until a fold shows it.
-                choices = plan.place(job, len(tasks), widen, within_s, freed=mine, shared=shared)
+                # Capacity that only this controller knows to be free is for its own jobs and for urgent ones.  Other
+                # jobs of other controllers could not be placed there, and it would stay unused until a fold shows it.
+                choices = plan.place(job, len(tasks), pick_chance, within_s, freed=mine, shared=shared)
                 if not choices and not mine and urgent and plan.freed:
-                    # Only where there is no other: under scarce changes each such fold is a placement less.
-                    choices = plan.place(job, len(tasks), widen, within_s, freed=True)
+                    # Only as a last resort: while writes are scarce, each fold for this purpose costs a placement.
+                    choices = plan.place(job, len(tasks), pick_chance, within_s, freed=True)
                 if begins:
-                    # It goes first only to begin, on one machine: one task alone would cost as many changes.
+                    # It goes first only so that it begins, so one machine will do; one task costs as many writes as
+                    # several on that machine.
                     for room, n in choices[1:]:
                         plan.give_back(job, room, n)
                     del choices[1:]
                 if choices:
                     if not mine and urgent:
-                        ripe.setdefault(job.id, self._ripe.get(job.id, began_us))
+                        urgent_since_us.setdefault(job.id, self._urgent_since_us.get(job.id, round_began_us))
                         if any(id(room) in freed for room, _ in choices):
                             self.desk.hurry()
                     break
-                if not job.suspect and ((job.spec.kind == "gang" and urgent) or job.id in inside):
-                    if plan.keep_soon(job, need, within_s):
+                if not job.suspect and ((job.spec.kind == "gang" and urgent) or job.id in guaranteed):
+                    if plan.reserve_stopping_capacity(job, need, within_s):
                         self.counts["urgent jobs wait for stops"] += 1
                         break
                     if not mine:
                         continue
-                    victims = self._victims(job, plan, need, inside, within_s)
+                    victims = self._find_victims(job, plan, need, guaranteed, within_s)
                     if victims:
                         if not batch.items or (yield from self._commit(batch)):
-                            yield from self._stop(job, victims, inside)
-                        # This plan does not know yet which room is being made: jobs further back would take it.
-                        return self._again()
+                            yield from self._stop(job, victims, guaranteed)
+                        # This plan does not include the capacity being freed: jobs further back would take it.
+                        return self._request_round()
             if not choices or not mine:
                 self.counts["urgent jobs without room"] += mine and urgent
                 continue
-            if not urgent and any(RIPE_US < began_us - since_us < OVERRIPE_US for since_us in ripe.values()):
-                # An urgent job elsewhere has room but no commit yet: it may want the changes that this one would use.
-                # Not for long: its controller may see less room, or be gone.
+            if not urgent and any(
+                DEFER_AFTER_US < round_began_us - since_us < DEFER_UNTIL_US for since_us in urgent_since_us.values()
+            ):
+                # An urgent job of another controller has capacity but no commit yet: leave it the writes that this
+                # job would use.  Not for long: its controller may see less free capacity, or be gone.
                 continue
             if job.spec.kind != "gang" and not begins and sum(n for _, n in choices) < len(tasks):
-                # Room for a few of many tasks: several such commits are made one, for each costs changes.  While
-                # these are scarce, the job at the head would otherwise use them all up on room as it is freed, and
-                # jobs behind it that could go elsewhere would never come to their turn.
-                scarce = plan.sparing or base.store.changes.scarce()
-                pause_us = SCARCE_PARTIAL_US if scarce else PARTIAL_US
+                # There is capacity for only a few of many tasks.  Such placements are combined into fewer commits,
+                # for each costs writes.  While writes are scarce, the first job would otherwise use them all on
+                # capacity as it is freed, and jobs behind it that could go elsewhere would never get their turn.
+                scarce = plan.writes_scarce or base.store.changes.scarce()
+                pause_us = SCARCE_PARTIAL_PAUSE_US if scarce else PARTIAL_PAUSE_US
                 if base.kernel.now_us - self._partial_us.get(job.id, 0) < pause_us:
                     continue
                 if scarce and not urgent:
-                    choices = self._worthwhile(plan, job, choices)
+                    choices = self._keep_worthwhile(plan, job, choices)
                     if not choices:
                         continue
                 self._partial_us[job.id] = base.kernel.now_us
             if self.grants.limited(job.spec.team):
-                choices = self._granted(plan, job, choices, batch, turn)
+                choices = self._within_share(plan, job, choices, batch, turn)
                 if not choices:
                     continue
-            for item in portions(job, tasks, choices, base.cluster_state, base.limits):
-                if not batch.takes(item):
+            for item in split_placement(job, tasks, choices, base.cluster_state, base.limits):
+                if not batch.fits(item):
                     if not (yield from self._commit(batch)):
-                        # The cluster state was too late: start anew on the fresh one.
-                        return self._again()
+                        # The plan was made on an outdated cluster state: start again with the current one.
+                        return self._request_round()
                     batch = Batch(base.cluster_state, base.limits)
                 batch.add(item)
-                plan.due |= item.groups()
+                plan.due_groups |= item.groups()
         if batch.items and not (yield from self._commit(batch)):
-            self._again()
-        self._ripe = ripe
+            self._request_round()
+        self._urgent_since_us = urgent_since_us
         yield from self._reshare()
 
-    def _placeable(self, job: Job, tasks: list[int], theirs: dict[tuple[str, str], Share]) -> list[int]:
-        """The tasks of another controller's job that its share of the team's limit allows, counted in `theirs`.
+    def _within_owner_share(self, job: Job, tasks: list[int], peer_usage: dict[tuple[str, str], Share]) -> list[int]:
+        """Return the tasks of another controller's job that are within its owner's share of the team's limit.
 
-        The others cannot be placed now: room left to them would stand empty, while the share that allows their
-        place stays with controllers whose jobs come after them.  A gang collects share and room as a whole.
+        The remaining tasks cannot be placed now.  Capacity reserved for them would stay unused, while the share that
+        would allow them stays with controllers whose jobs come later.  A gang collects share and capacity as a whole,
+        so it is not cut.  `peer_usage` sums up what was allowed so far, by team and owner.
         """
         team, spec = job.spec.team, job.spec
         if not self.grants.limited(team) or spec.kind == "gang":
             return tasks
         owner = self._owner(job)
-        cpus, gpus = theirs.get((team, owner), (0.0, 0.0))
+        cpus, gpus = peer_usage.get((team, owner), (0.0, 0.0))
         tasks = tasks[: self.grants.allowed_to(owner, team, spec, cpus, gpus)]
-        theirs[(team, owner)] = (cpus + len(tasks) * spec.cpus, gpus + len(tasks) * spec.gpus)
+        peer_usage[(team, owner)] = (cpus + len(tasks) * spec.cpus, gpus + len(tasks) * spec.gpus)
         return tasks
 
-    def _worthwhile(self, plan: Plan, job: Job, choices: list[Choice]) -> list[Choice]:
-        """Of the room for a part of an array, that in groups to be written anyway or with some places in each.
-
-        While changes are scarce, a change for one task is a change that would have started several: room is left
-        until more of it comes together, or until its own controller takes it along.
-        """
+    def _keep_worthwhile(self, plan: Plan, job: Job, choices: list[Choice]) -> list[Choice]:
+        """Return the choices in groups that are written anyway or take `MIN_TASKS_PER_WRITE` tasks; give back the
+        others."""
         places: Counter[str] = Counter()
         for room, n in choices:
             places[room.machine.group] += n
         kept: list[Choice] = []
         for room, n in choices:
-            if room.machine.group in plan.due or places[room.machine.group] >= WORTH_PLACES:
+            if room.machine.group in plan.due_groups or places[room.machine.group] >= MIN_TASKS_PER_WRITE:
                 kept.append((room, n))
             else:
                 plan.give_back(job, room, n)
         return kept
 
     def _allowed(self, job: Job, batch: Batch) -> int:
-        """How many tasks this controller's share of the team's limit allows, besides those of the batch."""
+        """Return how many tasks this controller's share of the team's limit allows on top of those in the batch."""
         return self.grants.allowed(job.spec.team, job.spec, *batch.used.get(job.spec.team, (0.0, 0.0)))
 
     def _share_allows(self, plan: Plan, job: Job, count: int, batch: Batch, turn: int) -> bool:
-        """Whether so many tasks are within this controller's share; else note that more of it is wanted.
+        """Return whether `count` tasks are within this controller's share; if not, note that it needs more.
 
-        Before room is looked for, or made: found on a day with a binding limit, urgent gangs stopped hundreds of
-        tasks for room that they could not use.  What no machine could take, even if all but the services ended, asks
-        for no share.
+        This is checked before capacity is searched or freed.  Otherwise, under a binding limit, urgent gangs stop
+        hundreds of tasks for capacity that they may not use.  A job that would not fit even after everything but the
+        services has ended asks for no share.
         """
         if self._allowed(job, batch) >= count:
             return True
@@ -320,8 +338,9 @@
             self._note_short(ShortJob(job, count, turn))
         return False
 
-    def _granted(self, plan: Plan, job: Job, choices: list[Choice], batch: Batch, turn: int) -> list[Choice]:
-        """The choices that this controller's share of the team's limit allows; note what more is wanted."""
+    def _within_share(self, plan: Plan, job: Job, choices: list[Choice], batch: Batch, turn: int) -> list[Choice]:
+        """Return the choices within this controller's share of the team's limit; if some are not, note that it needs
+        more."""
         count = sum(n for _, n in choices)
         allowed = self._allowed(job, batch)
         if allowed >= count:
@@ -338,55 +357,55 @@
         return cut
 
     def _reshare(self) -> Fiber[None]:
-        """See to the shares of teams whose jobs could not be placed for want of one."""
+        """Try to raise this controller's share of the limit for each team whose jobs it does not allow."""
         base = self.base
-        short, self._short = self._short, {}
+        short, self._short_jobs = self._short_jobs, {}
         for team, jobs in short.items():
             if not self.grants.ready(team):
-                # After a doubt: fenced at the beginning of the next round.
-                self._again()
+                # A commit had an unknown outcome: the next round begins with a fence.
+                self._request_round()
                 continue
             at_us, pause_us = self._reshared.get(team, (0, 0))
             if base.kernel.now_us < at_us + pause_us or self._yields_share(team, jobs):
                 continue
             build = partial(self._shares_for, team, jobs)
-            good = yield from base.follower.commit(build, 1, Urgency.PLACE, "share")
-            # While it does not help it is tried ever more seldom: the limit itself may bind.
-            pause_us = RESHARE_US if good else min(max(2 * pause_us, RESHARE_US), MAX_RESHARE_US)
+            committed = yield from base.follower.commit(build, 1, Urgency.PLACE, "share")
+            # After a failure, wait twice as long before the next attempt: the limit itself may bind.
+            pause_us = (
+                RESHARE_PAUSE_US if committed else min(max(2 * pause_us, RESHARE_PAUSE_US), MAX_RESHARE_PAUSE_US)
+            )
             self._reshared[team] = (base.kernel.now_us, pause_us)
             self._own_shares[team] = self.grants.own_share(team)
-            if good and (yield from base.follower.barrier()):
-                self._again()
+            if committed and (yield from base.follower.barrier()):
+                self._request_round()
 
     def _yields_share(self, team: str, jobs: list[ShortJob]) -> bool:
-        """Whether another controller has lowered this one's share of a limit and is to have the time to take that.
+        """Return whether another controller has lowered this one's share and should get time to raise its own.
 
-        It may raise its own only by a later change (safety point 8).  Found by the model: until then this controller
-        had taken back what was in nobody's share, too early for either to place a task with it, without end.
+        The other controller may raise its own share only by a later write (safety point 8).  Otherwise this
+        controller takes back what is in nobody's share before either can place a task with it, without end.
         """
         own, before = self.grants.own_share(team), self._own_shares.get(team, (0.0, 0.0))
         lowered = any(own[n] < before[n] - AMOUNT_TOLERANCE for n in (0, 1))
         self._own_shares[team] = own
         if not lowered or any(short.job.priority <= URGENT or short.job.spec.kind == "gang" for short in jobs):
             return False
-        self._reshared[team] = (self.base.kernel.now_us, YIELD_US)
+        self._reshared[team] = (self.base.kernel.now_us, SHARE_YIELD_US)
         return True
 
     def _note_short(self, short: ShortJob) -> None:
-        """Remember a job to ask a share for: the first of its team, and the one behind gangs, which may fit nowhere.
+        """Remember a job to request a share for: the first ones of its team, up to the first that is not a gang.
 
-        Asking for more of them moved shares to and fro between controllers that all had use for them.
+        A gang may fit nowhere, so it must not be the only one.  Requests for more jobs moved shares to and fro
+        between controllers that could all use them.
         """
-        jobs = self._short.setdefault(short.job.spec.team, [])
+        jobs = self._short_jobs.setdefault(short.job.spec.team, [])
         behind_gangs = all(known.job.spec.kind == "gang" for known in jobs)
-        if behind_gangs and len(jobs) < MOST_SHORT:
+        if behind_gangs and len(jobs) < MAX_SHORT_GANGS:
             jobs.append(short)
 
     def _shares_for(self, team: str, jobs: list[ShortJob]) -> Txn | None:
-        """More of a team's limit for the first of some jobs that can get any; None where none can.
-
-        A gang that does not fit into what is left of the limit must not keep the jobs behind it from asking.
-        """
+        """Return the transaction that raises this controller's share for the first job that can get more, or None."""
         prospects = Prospects(self.base.cluster_state, self.base.teams)
         wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.any)
         for short in jobs:
@@ -399,38 +418,41 @@
     def _owner(self, job: Job) -> str:
         return self.presence.owner_of(job.id, job.record.owner)
 
-    def _again(self) -> None:
-        self._hurry = True
+    def _request_round(self) -> None:
+        self._round_requested = True
 
-    def _victims(self, job: Job, plan: Plan, count: int, inside: set[str], within_s: float | None) -> Victims:
-        """Work that may be stopped where that makes room for a job.
+    def _find_victims(
+        self, job: Job, plan: Plan, count: int, guaranteed: set[str], within_s: float | None
+    ) -> Victims:
+        """Return the tasks to stop so that `count` tasks of a job fit; empty if there are none.
 
-        Where there is none for so many tasks, there is none for as many alike in this plan: found by a profile, in a
-        full fleet nearly all processor time went into looking for it again for each gang that waited.
+        A failed search is not repeated in the same plan for jobs that are alike and need as many tasks or more.
+        Otherwise, in a full fleet, repeating it for each waiting gang takes nearly all processor time.
         """
         spec = job.spec
-        # How a job that is spread may go on depends on where its own tasks are; one of a single zone is bound to it.
+        # For a job with `spread`, the result depends on where its own tasks are; a job with `same_zone` is bound to
+        # its zone.
         alone = (spec.spread and job.id, plan.ask(job).zone)
         spared = self.planner.floor.spared(job)
-        alike = (*demand(spec), job.priority, spec.team, job.id in inside, alone, spared)
-        # What is nowhere is not where the image is in time, either.
+        alike = (*demand(spec), job.priority, spec.team, job.id in guaranteed, alone, spared)
+        # If no machine will do, none of those that have the image in time will, either.
         for image in (None, spec.image) if within_s is not None else (None,):
-            if plan.no_victims.get((alike, image), count + 1) <= count:
+            if plan.min_without_victims.get((alike, image), count + 1) <= count:
                 return {}
         self.counts["looks for work to stop"] += 1
-        right = Right(self.base.cluster_state, inside, job, plan.excess(), spared)
+        right = Right(self.base.cluster_state, guaranteed, job, plan.excess(), spared)
         victims = choose_victims(plan, job, count, right, self.base.kernel.wall_us, within_s)
         if not victims:
-            plan.no_victims[(alike, None if within_s is None else spec.image)] = count
+            plan.min_without_victims[(alike, None if within_s is None else spec.image)] = count
         return victims
 
-    def _stop(self, job: Job, victims: Victims, inside: set[str]) -> Fiber[None]:
+    def _stop(self, job: Job, victims: Victims, guaranteed: set[str]) -> Fiber[None]:
         base = self.base
         build = partial(
             stop_for,
             base.cluster_state,
             base.teams,
-            inside,
+            guaranteed,
             job,
             victims,
             base.limits,
@@ -446,20 +468,21 @@
         for retry in range(base.knobs.retries):
             lines: list[str] = []
             build = partial(self._transaction, batch, lines)
-            # What is urgent takes its turn with the folds: a controller with many workers never came to place.
+            # Urgent batches share a priority with the folds: otherwise a controller with many workers never gets to
+            # place.
             urgency = Urgency.FREE if batch.urgent else Urgency.PLACE
-            good = yield from base.follower.commit(build, batch.changes(), urgency, "place")
-            if good is None:
+            committed = yield from base.follower.commit(build, batch.writes(), urgency, "place")
+            if committed is None:
                 return False
-            txn, teams = self._sent
+            txn, teams = self._last_commit
             if txn.doubt:
                 self.grants.doubt(teams)
-            self.window.append(not good)
+            self._recent_failures.append(not committed)
             self._commits += 1
-            if good:
+            if committed:
                 for line in lines:
                     base.kernel.log("info", line)
-                self.desk.folded(self._folds)
+                self.desk.folded(self._last_folded)
                 return len(lines) == len(batch.items)
             yield Sleep(int(base.kernel.rng.uniform(0.0, 0.02) * min(2**retry, 16) * SECOND_US))
             if not (yield from base.follower.barrier()):
@@ -467,22 +490,23 @@
         return False
 
     def _transaction(self, batch: Batch, lines: list[str]) -> Txn | None:
-        """The commit for a batch, each job checked against the versions that it will be guarded by.
+        """Build the transaction for a batch; each job is checked against the record versions that will guard it.
 
-        A job that does not fit any more is left out.
+        A job that does not fit any more is left out.  None if nothing is left.
         """
         full: set[str] = set()
         for _ in range(len(batch.groups) + 1):
             found = self._draft(batch, lines, full)
             if not isinstance(found, str):
                 return found
-            # What is planned there would not fit into its record any more.
+            # The record of this group cannot take what is planned there: leave the group out.
             self.counts["groups found full"] += 1
             full.add(found)
         return None
 
     def _draft(self, batch: Batch, lines: list[str], full: set[str]) -> Txn | str | None:
-        """The transaction without some groups; the name of another one that would be too large."""
+        """Build the transaction without the groups in `full`; return the key of a group whose record would grow too
+        large."""
         base = self.base
         cluster_state = base.cluster_state
         txn = Txn()
@@ -510,43 +534,43 @@
         for key, edit in draft.edits.items():
             if not edit.write(txn, base.limits, cluster_state.is_live):
                 return key
-        self._sent = txn, list(draft.usage)
-        self._folds = {name for name in fold.taken if cluster_state.machines[name].group in draft.edits}
+        self._last_commit = txn, list(draft.usage)
+        self._last_folded = {name for name in fold.taken if cluster_state.machines[name].group in draft.edits}
         return txn
 
 
 @dataclass
-class Item:
-    """Some tasks of a job and the places chosen for them: what goes into one transaction whole."""
+class BatchItem:
+    """Some tasks of a job and the machines chosen for them, which one transaction places as a whole."""
 
     job_id: str
     tasks: list[int]
     choices: list[Choice]
     portion: int
-    """For a gang that is placed in portions, how many of its tasks come before."""
+    """For a gang that is placed in portions, how many of its tasks earlier portions place."""
     count: int = 0
 
     def __post_init__(self) -> None:
         self.count = len(self.tasks)
 
     def groups(self) -> set[str]:
-        """The keys of the groups in which this places tasks."""
+        """Return the keys of the groups in which this item places tasks."""
         return {room.machine.group for room, _ in self.choices}
 
 
-def portions(
+def split_placement(
     job: Job, tasks: list[int], choices: list[Choice], cluster_state: ClusterState, limits: Limits
-) -> list[Item]:
-    """Cut a job's placement into as many transactions as it needs: mostly one."""
+) -> list[BatchItem]:
+    """Split a job's placement into as many transactions as it needs, which is mostly one."""
     cut: list[list[Choice]] = [[]]
     groups: set[str] = set()
     size = 0
     for room, n in choices:
         group = room.machine.group
-        more = HOLD_BYTES + (0 if group in groups else cluster_state.groups[group].size)
+        more = ALLOCATION_BYTES + (0 if group in groups else cluster_state.groups[group].size)
         if cut[-1] and (len(groups | {group}) > limits.ops - 1 or size + more > limits.txn_bytes):
             cut.append([])
-            groups, size, more = set(), 0, HOLD_BYTES + cluster_state.groups[group].size
+            groups, size, more = set(), 0, ALLOCATION_BYTES + cluster_state.groups[group].size
         groups.add(group)
         size += more
         cut[-1].append((room, n))
@@ -555,48 +579,48 @@
     for part in cut:
         count = sum(n for _, n in part)
         portion = job.portion + done if job.spec.kind == "gang" else 0
-        items.append(Item(job.id, tasks[done : done + count], part, portion))
+        items.append(BatchItem(job.id, tasks[done : done + count], part, portion))
         done += count
     return items
 
 
 class Batch:
-    """Jobs that follow one another in the queue and share a transaction, for each group in it costs one change."""
+    """Consecutive jobs of the queue that share a transaction, so that each group in it costs only one write."""
 
     def __init__(self, cluster_state: ClusterState, limits: Limits) -> None:
         self.cluster_state = cluster_state
         self.limits = limits
-        self.items: list[Item] = []
+        self.items: list[BatchItem] = []
         self.used: dict[str, tuple[float, float]] = {}
-        """What its jobs take, by team."""
+        """CPUs and GPUs that its tasks take, by team."""
         self._jobs: set[str] = set()
         self.groups: set[str] = set()
         self.urgent = False
-        """One of its jobs is urgent."""
+        """Whether one of its jobs is urgent."""
         self._bytes = 0
 
-    def changes(self) -> int:
-        """How many changes the transaction makes: one for each job and group."""
+    def writes(self) -> int:
+        """Return how many writes the transaction makes: one for each job and group."""
         return len(self.items) + len(self.groups)
 
-    def _size(self, item: Item) -> int:
+    def _size(self, item: BatchItem) -> int:
         job = self.cluster_state.jobs[item.job_id]
         groups = self.cluster_state.groups
-        size = JOB_BYTES + len(job.record.finished) + HOLD_BYTES * len(item.choices)
+        size = JOB_BYTES + len(job.record.finished) + ALLOCATION_BYTES * len(item.choices)
         return size + sum(groups[key].size for key in item.groups() - self.groups if key in groups)
 
-    def takes(self, item: Item) -> bool:
-        """Whether there is room for one more; the first is always taken."""
+    def fits(self, item: BatchItem) -> bool:
+        """Return whether an item fits into the transaction; the first one always does."""
         if not self.items:
             return True
         job = self.cluster_state.jobs.get(item.job_id)
         if job is None or item.job_id in self._jobs:
             return False
-        changes = len(self.items) + 1 + len(self.groups | item.groups())
-        return changes <= self.limits.ops and self._bytes + self._size(item) <= self.limits.txn_bytes
+        writes = len(self.items) + 1 + len(self.groups | item.groups())
+        return writes <= self.limits.ops and self._bytes + self._size(item) <= self.limits.txn_bytes
 
-    def add(self, item: Item) -> None:
-        """Take an item into the batch, unless its job is gone."""
+    def add(self, item: BatchItem) -> None:
+        """Add an item to the batch, unless its job is no longer live."""
         job = self.cluster_state.jobs.get(item.job_id)
         if job is None:
             return
@@ -610,20 +634,20 @@
 
 
 class Draft:
-    """The records that a batch would write, so far."""
+    """The group edits that a batch of placements requires, collected item by item."""
 
     def __init__(self, cluster_state: ClusterState, grants: Grants, fold: Fold, limits: Limits) -> None:
-        self.image_bytes = limits.value_bytes * IMAGES_SHARE
+        self.image_bytes = limits.value_bytes * MAX_IMAGES_SHARE
         self.cluster_state = cluster_state
         self.grants = grants
         self.fold = fold
         self.edits: dict[str, GroupEdit] = {}
         self.usage: dict[str, tuple[float, float]] = {}
-        """For each team with a limit what the batch adds to its use."""
+        """CPUs and GPUs that the batch adds to the usage of each team with a limit."""
         self._added = {name: (-cpus, -gpus, -memory) for name, (cpus, gpus, memory) in fold.freed.items()}
 
-    def allows(self, job: Job, item: Item) -> bool:
-        """Whether a job's tasks may go where they were planned, as far as the cluster state shows now."""
+    def allows(self, job: Job, item: BatchItem) -> bool:
+        """Return whether the current cluster state still allows a job's tasks on the machines chosen for them."""
         spec, cluster_state = job.spec, self.cluster_state
         tasks = set(item.tasks)
         if not cluster_state.dependencies.ready(job):
@@ -638,9 +662,9 @@
         if self.grants.limited(spec.team) and self.grants.allowed(spec.team, spec, *more) < item.count:
             return False
         zones: dict[str, int] = {}
-        for (name, _), hold in cluster_state.allocations.get(job.id, {}).items():
+        for (name, _), allocation in cluster_state.allocations.get(job.id, {}).items():
             zones[cluster_state.machines[name].zone] = zones.get(cluster_state.machines[name].zone, 0) + len(
-                hold.tasks
+                allocation.tasks
             )
         for room, n in item.choices:
             machine = cluster_state.machines.get(room.machine.name)
@@ -659,8 +683,11 @@
             return False
         return not spec.spread or max(zones.values()) <= (spec.tasks + 1) // 2
 
-    def add(self, job: Job, item: Item, number: int, wall_us: int, host: str) -> None:
-        """Add the allocations of one item to the edits of its groups, and the job's attempt to its record."""
+    def add(self, job: Job, item: BatchItem, number: int, wall_us: int, host: str) -> None:
+        """Add the allocations of one item to the edits of its groups, and its tasks to the usage of its team.
+
+        `number` is the attempt, `host` the name of the controller that places it.
+        """
         spec = job.spec
         left = list(item.tasks)
         for room, n in item.choices:
@@ -693,17 +720,20 @@
 
 
 def attempt_of(job: Job) -> int:
-    """The attempt number of the next placement: a gang's portions all have the same one."""
+    """Return the attempt number of the next placement; all portions of a gang have the same one."""
     return job.record.attempt if job.portion else job.record.attempt + 1
 
 
 def cached(
     images: list[tuple[str, float]], image: str, size: float, cache_gb: float, most_bytes: float
 ) -> list[tuple[str, float]]:
-    """A machine's cached images after it has used one, the latest last; as many as its record has room for."""
+    """Return a machine's cached images after it has used `image`, which goes last.
+
+    The images used longest ago are dropped until the rest fits into the cache and into `most_bytes` of the record.
+    """
     kept = [*(entry for entry in images if entry[0] != image), (image, size)]
     while len(kept) > 1 and (
-        sum(gb for _, gb in kept) > cache_gb or sum(len(name) + IMAGE_BYTES for name, _ in kept) > most_bytes
+        sum(gb for _, gb in kept) > cache_gb or sum(len(name) + IMAGE_ENTRY_BYTES for name, _ in kept) > most_bytes
     ):
         kept.pop(0)
     return kept
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -1,4 +1,4 @@
-"""A plan: the queue in order, each job given the room that the rules choose."""
+"""A plan goes through the queue in order and chooses machines for each job by the placement rules."""
 
 from __future__ import annotations
 
@@ -24,15 +24,19 @@
 from ashtray.teams.limits import tasks_within, within_guarantee
 
 FULL_SHARE = 0.8
-"""Nothing more is placed in a group whose record takes this part of a value."""
-HOLD_BYTES, LEAN_HOLD_BYTES = 75, 45
-IMAGE_BYTES = 12
-FEW_RUNS = 4
-ALIKE_LOOKS = 40
-"""Machines of a shared ranking that one task looks at."""
+"""Nothing more is placed in a group whose record takes up this part of a value's maximum size."""
+ALLOCATION_BYTES, COMPACT_ALLOCATION_BYTES = 75, 45
+"""Estimated bytes of an allocation in a group record, in full form (without job and team) and in compact form."""
+IMAGE_ENTRY_BYTES = 12
+"""Estimated bytes of a cached image in a group record, without its name."""
+USUAL_RUNS = 4
+"""The number of runs of task numbers that the size estimate of an allocation assumes at most."""
+MAX_SHARED_RANKING = 40
+"""The maximum number of machines of a shared ranking that one task considers."""
 Demand = tuple[Any, ...]
+"""What jobs that are alike have in common, as a key."""
 Choice = tuple[Room, int]
-"""A machine and how many tasks it gets."""
+"""A machine and the number of tasks placed on it."""
 
 
 def queue(
@@ -42,14 +46,14 @@
     wall_us: int = 0,
     floor: MinimumShare | None = None,
 ) -> tuple[list[Job], set[str]]:
-    """The jobs with tasks that wait, the first to be served first: priority, guarantee, deadline or age.
+    """Return the jobs with waiting tasks in queue order: by priority, guarantee, then deadline or age.
 
-    Under overload what can still make its next stated time goes first (`order.py`), and a class of which too little
-    was served goes before what is too late (`floor.py`).
+    Under overload, jobs that can still meet their next stated time go first (`queue_order.py`), and a class of which
+    too little was served goes before jobs that are too late (`minimum_share.py`).
 
-    Also the names of all live jobs that are within their team's guarantee.
+    Also returns the ids of all live jobs that are within their team's guarantee.
     """
-    inside: set[str] = set()
+    guaranteed: set[str] = set()
     by_team: dict[str, list[Job]] = {team.name: [] for team in teams.values() if team.cpus or team.gpus}
     if by_team:
         for job in cluster_state.jobs.values():
@@ -57,24 +61,24 @@
                 by_team[job.spec.team].append(job)
         for name, jobs in by_team.items():
             jobs.sort(key=lambda job: (job.ready_us, job.id))
-            inside |= within_guarantee(teams[name], ((job, len(cluster_state.finished(job))) for job in jobs))
+            guaranteed |= within_guarantee(teams[name], ((job, len(cluster_state.finished(job))) for job in jobs))
 
     def rank(job: Job) -> tuple[int, int, int, int, str]:
-        # The latest start that still meets the deadline, if the estimates hold.
+        # The latest start that still meets the deadline, provided that the estimates are right.
         due = job.ready_us if job.latest_us is None else min(job.ready_us, job.latest_us)
-        # What fails everywhere delays nobody.
+        # A job that fails on every machine must not delay others.
         priority = len(PRIORITIES) if job.suspect else job.priority
-        return priority, job.id not in inside, due, job.ready_us, job.id
+        return priority, job.id not in guaranteed, due, job.ready_us, job.id
 
     jobs = sorted((cluster_state.jobs[job_id] for job_id in cluster_state.waiting()), key=rank)
     if times is None:
-        return jobs, inside
-    jobs, too_late = times.arrange(jobs, inside, cluster_state, wall_us)
-    return jobs if floor is None else floor.lift(jobs, too_late, wall_us), inside
+        return jobs, guaranteed
+    jobs, too_late = times.arrange(jobs, guaranteed, cluster_state, wall_us)
+    return jobs if floor is None else floor.lift(jobs, too_late, wall_us), guaranteed
 
 
 def back_off_us(job: Job) -> int:
-    """How long a job that failed waits before it is tried again: longer once it has failed on several machines."""
+    """Return how long a failed job waits before its next attempt; longer once it has failed on several machines."""
     errors = job.record.errors
     if job.suspect:
         return min(2 << min(errors, 10), 120) * SECOND_US
@@ -82,19 +86,19 @@
 
 
 def demand(spec: JobSpec) -> Demand:
-    """What a task takes, its first three parts, and where it may go."""
+    """Return a task's resources, which are the first three elements, and where the job may be placed."""
     places = (spec.zone, spec.spot, spec.same_zone, spec.spread, tuple(spec.types or ()))
     return (spec.cpus, spec.gpus, spec.memory_gb, *places)
 
 
-def _hold_bytes(base: int, spec: JobSpec, room: Room, count: int) -> int:
-    """What a hold for so many tasks of a job takes of a record: their numbers are mostly a few runs."""
-    image = 0 if spec.image in room.machine.images else len(spec.image) + IMAGE_BYTES
-    return base + image + len(str(spec.tasks)) * min(count, FEW_RUNS)
+def _allocation_bytes(base: int, spec: JobSpec, room: Room, count: int) -> int:
+    """Estimate the bytes that an allocation adds to a group record; task numbers are mostly a few runs."""
+    image = 0 if spec.image in room.machine.images else len(spec.image) + IMAGE_ENTRY_BYTES
+    return base + image + len(str(spec.tasks)) * min(count, USUAL_RUNS)
 
 
 class Planner:
-    """Makes queues and plans on the cluster state as it is when asked."""
+    """Creates queues and plans from the current cluster state."""
 
     def __init__(self, base: Base, times: StatedTimes, floor: MinimumShare) -> None:
         self._base = base
@@ -102,17 +106,17 @@
         self.floor = floor
 
     def plan(self) -> Plan:
-        """A plan of the cluster state as it is now."""
+        """Return a new plan of the current cluster state."""
         base = self._base
         return Plan(base.cluster_state, base.teams, base.knobs, base.kernel.rng, base.limits)
 
     def queue(self) -> tuple[list[Job], set[str]]:
-        """The jobs that wait, in their order, and those within their team's guarantee."""
+        """Return the waiting jobs in queue order, and the ids of the live jobs within their team's guarantee."""
         return queue(self._base.cluster_state, self._base.teams, self.times, self._base.kernel.wall_us, self.floor)
 
 
 class Plan:
-    """Room and limits that are left while jobs are given places, in the queue's order."""
+    """The free capacity and team limits that remain while jobs are placed in queue order."""
 
     def __init__(
         self,
@@ -129,13 +133,14 @@
         self.rooms: list[Room] = []
         kinds = cluster_state.types
         self.lean = limits.lean
-        self.left = {
+        self._bytes_left = {
             key: -1.0 if group.moving else FULL_SHARE * limits.value_bytes - group.size
             for key, group in cluster_state.groups.items()
         }
-        """Bytes that may still be written into each group's record, with a reserve for what must be."""
-        # Nothing more is put into a record that is nearly as large as a value may be.
-        full = {key for key, left in self.left.items() if left < HOLD_BYTES}
+        """Bytes that placements may still add to each group's record; a reserve is kept for writes that cannot be
+        avoided."""
+        # Nothing more is placed in a group whose record has nearly reached a value's maximum size.
+        full = {key for key, left in self._bytes_left.items() if left < ALLOCATION_BYTES}
         for machine in cluster_state.machines.values():
             kind = kinds.get(machine.type)
             record = machine.record
@@ -152,34 +157,34 @@
             )
             self.rooms.append(Room(machine, kind, cpus, gpus, memory_gb, blame))
         self.freed: list[Room] = []
-        """Room that reports have freed and no commit has yet: only this controller knows of it."""
-        self.no_victims: dict[Demand, int] = {}
-        """For jobs alike, how many tasks could not be given room by stopping others; nor can more of them."""
-        self.sparing = False
-        """Changes of the state service are scarce."""
-        self.due: set[str] = set()
-        """Groups whose records will be written anyway, so that a placement there costs no change."""
+        """Capacity that reports have freed, but no commit has yet: only this controller knows of it."""
+        self.min_without_victims: dict[Demand, int] = {}
+        """By kind of job, the smallest number of tasks for which stopping others frees no capacity, or not enough."""
+        self.writes_scarce = False
+        """Whether writes to the state service are scarce."""
+        self.due_groups: set[str] = set()
+        """Groups whose records are written anyway, so that a placement there costs no additional write."""
         self._ranked: dict[Demand, list[Room]] = {}
-        """For single tasks of about one size, the machines that are left, the best last."""
-        self.ordinary = [room for room in self.rooms if not room.machine.record.spot]
+        """For single tasks of about the same size, the remaining machines in order, the best last."""
+        self.on_demand = [room for room in self.rooms if not room.machine.record.spot]
         self.usage = {name: cluster_state.team_usage(name) for name in teams}
         self.scarcity = self._scarcity()
         waits = (cluster_state.jobs[job_id] for job_id in cluster_state.waiting())
-        self.gpus_wait = min((job.priority for job in waits if job.spec.gpus > 0), default=len(PRIORITIES))
-        """The most urgent priority of which tasks wait for GPUs."""
-        self._most: dict[Demand, int] = {}
-        """For demands that could not be met in full: how much room there was at most.  It only shrinks."""
-        self._none: dict[Demand, list[tuple[float, float, float]]] = {}
-        self._soon: dict[str, tuple[float, float, float]] | None = None
-        self._no_soon: dict[Demand, int] = {}
-        """For demands, how many tasks did not even find room that is being made."""
+        self.gpu_wait_priority = min((job.priority for job in waits if job.spec.gpus > 0), default=len(PRIORITIES))
+        """The most urgent priority among the jobs with tasks that wait for GPUs."""
+        self._max_placeable: dict[Demand, int] = {}
+        """For demands that could not be met in full, the number of tasks that fit at most.  Capacity only shrinks."""
+        self._unplaceable_sizes: dict[Demand, list[tuple[float, float, float]]] = {}
+        self._stopping_capacity: dict[str, tuple[float, float, float]] | None = None
+        self._min_unreservable: dict[Demand, int] = {}
+        """For demands, the smallest number of tasks that did not fit even with the capacity being freed."""
         self._excess: Excess | None = None
         self.prospects = Prospects(cluster_state, teams)
         self.visits = 0
-        """Rooms looked at closely: what the work of a plan grows with."""
+        """The number of machines that were ranked: the processor time of a plan grows with it."""
 
     def add_freed(self, freed: dict[str, tuple[float, float, float]]) -> None:
-        """Count what reports have freed, in CPUs, GPUs and GB by machine, though no commit has yet."""
+        """Add the CPUs, GPUs and GB, by machine, that reports have freed but no commit has yet."""
         for name, (cpus, gpus, memory) in freed.items():
             machine = self.cluster_state.machines[name]
             kind = self.cluster_state.types.get(machine.type)
@@ -187,7 +192,7 @@
                 self.freed.append(Room(machine, kind, cpus, gpus, memory))
 
     def _scarcity(self) -> tuple[float, float, float]:
-        """The share of each resource that is in use: what is scarce weighs more."""
+        """Return the weights of CPUs, GPUs and memory: the larger the part in use, the larger the weight."""
         whole_c = whole_g = whole_m = free_c = free_g = free_m = 0.0
         for room in self.rooms:
             kind = room.type
@@ -204,15 +209,15 @@
         return c, g, m
 
     def wanted(self, job: Job, wall_us: int, shared: bool = False) -> list[int]:
-        """The tasks that are to be given a place now, lowest first.
+        """Return the tasks of a job to place now, lowest first.
 
-        `shared`: the team's limit is not looked at, for the caller goes by its own share of it.
+        With `shared`, the team's limit is ignored, because the caller checks its own share of it.
         """
         if job.record.errors and wall_us - job.record.error_us < back_off_us(job):
             return []
         left = self.cluster_state.waiting().get(job.id, [])
         if job.suspect and job.spec.kind != "gang":
-            # One task shows whether it works by now.
+            # One task is enough to find out whether the job still fails.
             left = [] if self.cluster_state.placed(job.id) else left[:1]
         team = self.teams.get(job.spec.team)
         if team is not None and job.spec.kind != "gang" and not shared:
@@ -220,46 +225,48 @@
         return left
 
     def _base_bytes(self, job: Job) -> int:
-        return LEAN_HOLD_BYTES if self.lean else HOLD_BYTES + len(job.id) + len(job.spec.team)
+        return COMPACT_ALLOCATION_BYTES if self.lean else ALLOCATION_BYTES + len(job.id) + len(job.spec.team)
 
     def ask(self, job: Job) -> Ask:
-        """What a job asks of a machine, for the rules."""
+        """Return the request for a job's tasks that the rules evaluate."""
         spec = job.spec
-        ask = Ask(spec, scarcity=self.scarcity, spare_gpus=self._spares_gpus(job), priority=job.priority)
-        ask.hold_bytes = self._base_bytes(job)
+        ask = Ask(spec, scarcity=self.scarcity, spare_gpus=self._must_leave_cpus(job), priority=job.priority)
+        ask.allocation_bytes = self._base_bytes(job)
         ask.failed_on = frozenset(job.record.failed_on)
-        holds = self.cluster_state.allocations.get(job.id, {})
+        job_allocations = self.cluster_state.allocations.get(job.id, {})
         if spec.spread:
             ask.spread_most = (spec.tasks + 1) // 2
             ask.zone_room = {}
-        for (name, _), hold in holds.items():
+        for (name, _), allocation in job_allocations.items():
             zone = self.cluster_state.machines[name].zone
             if spec.same_zone:
                 ask.zone = zone
             if ask.zone_room is not None:
-                ask.zone_room[zone] = ask.zone_room.get(zone, ask.spread_most) - len(hold.tasks)
+                ask.zone_room[zone] = ask.zone_room.get(zone, ask.spread_most) - len(allocation.tasks)
         return ask
 
-    def _spares_gpus(self, job: Job) -> bool:
-        """Whether a job leaves free GPUs their part of the CPUs, for tasks as urgent wait for them."""
-        return job.spec.gpus == 0 and self.gpus_wait <= job.priority
+    def _must_leave_cpus(self, job: Job) -> bool:
+        """Return whether a job must leave enough CPUs for free GPUs, because tasks at least as urgent wait for
+        GPUs."""
+        return job.spec.gpus == 0 and self.gpu_wait_priority <= job.priority
 
     def zones(self) -> list[str]:
-        """The names of the zones that have machines, sorted."""
+        """Return the sorted names of the zones that have machines."""
         return sorted({room.machine.zone for room in self.rooms})
 
     def place(
         self,
         job: Job,
         count: int,
-        widen: float,
+        pick_chance: float,
         image_within_s: float | None = None,
         freed: bool = False,
         shared: bool = False,
     ) -> list[Choice]:
-        """Choose room for tasks of a job and take it; for a gang all of it or none.
+        """Choose machines for up to `count` tasks of a job and take the capacity; for a gang, all tasks or none.
 
-        `freed`: also the room that only this controller knows of.  `shared`: see `wanted`.
+        With `freed`, machines whose capacity only this controller knows to be free are included.  `shared`: see
+        `wanted`.  `image_within_s` admits only machines that have the image or fetch it within this many seconds.
         """
         spec = job.spec
         gang = spec.kind == "gang"
@@ -267,20 +274,21 @@
             return []
         ask = self.ask(job)
         ask.image_within_s = image_within_s
-        # One that has a place already and must share its zone says nothing of the other zones.
-        wish = (*demand(spec), image_within_s and spec.image, freed, self._spares_gpus(job), ask.zone)
-        most = self._most.get(wish, count)
+        # A job that already has a task placed and must stay in that zone tells nothing about the other zones.
+        request_key = (*demand(spec), image_within_s and spec.image, freed, self._must_leave_cpus(job), ask.zone)
+        most = self._max_placeable.get(request_key, count)
         if most < (count if gang else 1):
             return []
-        # What found no room at all leaves none for anything larger that may use the same machines by the same rules:
-        # found on simulated days, small tasks that had to spare GPU machines hid all room from tasks for GPUs.
-        sizes = self._none.setdefault(wish[3:], [])
+        # If nothing fitted, nothing larger fits that may use the same machines by the same rules.  Tasks that must
+        # leave CPUs for free GPUs are kept apart: otherwise small ones hide the free capacity from tasks that need
+        # GPUs.
+        sizes = self._unplaceable_sizes.setdefault(request_key[3:], [])
         if any(c <= spec.cpus and g <= spec.gpus and m <= spec.memory_gb for c, g, m in sizes):
             return []
-        choices = self._in_a_zone(ask, count, widen, self.freed if freed else [])
+        choices = self._choose_in_zone(ask, count, pick_chance, self.freed if freed else [])
         total = sum(n for _, n in choices)
         if total < count and not spec.spread:
-            self._most[wish] = total if gang else 0
+            self._max_placeable[request_key] = total if gang else 0
             if not gang or not total:
                 sizes.append((spec.cpus, spec.gpus, spec.memory_gb))
         if gang and total < count:
@@ -288,134 +296,136 @@
         self.take(job, choices)
         return choices
 
-    def _in_a_zone(self, ask: Ask, count: int, widen: float, freed: list[Room]) -> list[Choice]:
+    def _choose_in_zone(self, ask: Ask, count: int, pick_chance: float, freed: list[Room]) -> list[Choice]:
         if not ask.spec.same_zone or ask.zone is not None or len(self.zones()) < 2:
-            return self._choose(ask, count, widen, freed=freed)
+            return self._choose(ask, count, pick_chance, freed=freed)
         found = []
         for zone in self.zones():
-            found.append(self._choose(replace(ask, zone=zone), count, widen, freed=freed))
+            found.append(self._choose(replace(ask, zone=zone), count, pick_chance, freed=freed))
         return max(found, key=lambda choices: sum(n for _, n in choices))
 
     def _team_allows(self, job: Job, count: int) -> bool:
         team = self.teams.get(job.spec.team)
         return team is None or tasks_within(team, *self.usage[team.name], job.spec) >= count
 
-    def keep_soon(self, job: Job, count: int, image_within_s: float | None = None) -> bool:
-        """Keep the room that stopping tasks will leave for a job that fits then; says whether it does.
+    def reserve_stopping_capacity(self, job: Job, count: int, image_within_s: float | None = None) -> bool:
+        """Reserve the capacity that stopping tasks will free for a job that fits then; return whether it does.
 
-        Without this, jobs further back would take such room piece by piece, and a gang would wait for ever.
+        Otherwise jobs further back would take this capacity bit by bit, and a gang would wait forever.
         """
         if not self._team_allows(job, count):
             return False
-        if self._soon is None:
-            self._soon = self._stopping()
-        if not self._soon:
+        if self._stopping_capacity is None:
+            self._stopping_capacity = self._capacity_of_stopping()
+        if not self._stopping_capacity:
             return False
-        # What does not fit does not fit for as many alike, nor for more: room only shrinks while a plan is made.
+        # If a job did not fit, no similar job with as many tasks or more does: capacity only shrinks while a plan is
+        # made.
         spec = job.spec
         alone = (spec.same_zone or spec.spread) and job.id
-        wish = (*demand(spec), image_within_s and spec.image, self._spares_gpus(job), alone)
-        if count >= self._no_soon.get(wish, count + 1):
+        request_key = (*demand(spec), image_within_s and spec.image, self._must_leave_cpus(job), alone)
+        if count >= self._min_unreservable.get(request_key, count + 1):
             return False
-        later: dict[int, Room] = {}
+        originals: dict[int, Room] = {}
         rooms = []
         for room in self.rooms:
-            extra = self._soon.get(room.machine.name)
+            extra = self._stopping_capacity.get(room.machine.name)
             if extra is not None:
                 c, g, m = extra
                 now, room = room, replace(room, cpus=room.cpus + c, gpus=room.gpus + g, memory_gb=room.memory_gb + m)
-                later[id(room)] = now
+                originals[id(room)] = now
             rooms.append(room)
         ask = self.ask(job)
         ask.image_within_s = image_within_s
         choices = self._choose(ask, count, 0.0, rooms)
         if sum(n for _, n in choices) < count:
-            self._no_soon[wish] = count
+            self._min_unreservable[request_key] = count
             return False
-        self.take(job, [(later.get(id(room), room), n) for room, n in choices])
+        self.take(job, [(originals.get(id(room), room), n) for room, n in choices])
         return True
 
     def excess(self) -> Excess:
-        """What each team runs beyond its guarantee, worked out once in a plan."""
+        """Return what each team runs beyond its guarantee, computed once per plan."""
         if self._excess is None:
             self._excess = Excess(self.cluster_state, self.teams)
         return self._excess
 
-    def _stopping(self) -> dict[str, tuple[float, float, float]]:
-        """The room of tasks that are about to leave, by machine."""
+    def _capacity_of_stopping(self) -> dict[str, tuple[float, float, float]]:
+        """Return the CPUs, GPUs and GB, by machine, that tasks about to end will free."""
         found: dict[str, tuple[float, float, float]] = {}
-        for holds in self.cluster_state.leaving().values():
-            for name, hold in holds:
-                n = len(hold.tasks)
+        for job_allocations in self.cluster_state.leaving().values():
+            for name, allocation in job_allocations:
+                n = len(allocation.tasks)
                 c, g, m = found.get(name, (0.0, 0.0, 0.0))
-                r = hold.record
+                r = allocation.record
                 found[name] = (c + n * r.cpus, g + n * r.gpus, m + n * r.memory_gb)
         return found
 
     def _choose(
-        self, ask: Ask, count: int, widen: float, among: list[Room] | None = None, freed: Sequence[Room] = ()
+        self, ask: Ask, count: int, pick_chance: float, among: list[Room] | None = None, freed: Sequence[Room] = ()
     ) -> list[Choice]:
-        """The best machines, or, seldom, a random one of the best few, until all tasks have room.
+        """Return the best machines, or with probability `pick_chance` a random one of the best few, for up to `count`
+        tasks.
 
-        A job's own tasks do not change how the machines that are left rank, so they are ranked once.
+        Placing one of a job's tasks does not change how the remaining machines rank, so they are ranked once.
         """
         spec = ask.spec
         zone_room = dict(ask.zone_room) if ask.zone_room is not None else None
-        trial = replace(ask, zone_room=zone_room)
+        request = replace(ask, zone_room=zone_room)
         cpus, gpus, memory = (
             spec.cpus - AMOUNT_TOLERANCE,
             spec.gpus - AMOUNT_TOLERANCE,
             spec.memory_gb - AMOUNT_TOLERANCE,
         )
-        alike = self._alike(ask, count) if among is None else None
-        ranked = self._ranked.get(alike) if alike is not None else None
+        ranking_key = self._ranking_key(ask, count) if among is None else None
+        ranked = self._ranked.get(ranking_key) if ranking_key is not None else None
         if ranked is None:
-            there = among if among is not None else [*(self.rooms if spec.spot else self.ordinary), *freed]
-            rooms = [r for r in there if r.cpus >= cpus and r.gpus >= gpus and r.memory_gb >= memory]
+            candidates = among if among is not None else [*(self.rooms if spec.spot else self.on_demand), *freed]
+            rooms = [r for r in candidates if r.cpus >= cpus and r.gpus >= gpus and r.memory_gb >= memory]
             self.visits += len(rooms)
-            trial.due, trial.sparing = self.due, self.sparing
-            ranked = rank(rooms, trial, count, self.knobs, self.rng)
+            request.due_groups, request.writes_scarce = self.due_groups, self.writes_scarce
+            ranked = rank(rooms, request, count, self.knobs, self.rng)
             ranked.reverse()
-            if alike is not None:
-                self._ranked[alike] = ranked
-        elif ranked and widen <= 0.0:
-            # Whoever came before filled up the best ones.
+            if ranking_key is not None:
+                self._ranked[ranking_key] = ranked
+        elif ranked and pick_chance <= 0.0:
+            # Earlier jobs have filled up the best machines.
             while ranked and not ranked[-1].fits(spec):
                 ranked.pop()
         choices: list[Choice] = []
         spent: dict[str, float] = {}
-        if alike is not None:
-            ranked = ranked[-ALIKE_LOOKS:]
+        if ranking_key is not None:
+            ranked = ranked[-MAX_SHARED_RANKING:]
         while count > 0 and ranked:
             pick = 0
-            if widen > 0 and self.rng.random() < widen:
+            if pick_chance > 0 and self.rng.random() < pick_chance:
                 pick = self.rng.randrange(min(self.knobs.top, len(ranked)))
             room = ranked.pop(-1 - pick)
             zone = room.machine.zone
-            n = min(count, room.fits(spec), trial.zone_allows(zone))
+            n = min(count, room.fits(spec), request.zone_allows(zone))
             if ask.spare_gpus and room.type.gpus > 0:
                 spare = room.cpus - room.gpus * room.type.cpus / room.type.gpus
                 n = min(n, int((spare + AMOUNT_TOLERANCE) // spec.cpus)) if spec.cpus > 0 else n
-            if n <= 0 or trial.zone not in (None, zone):
+            if n <= 0 or request.zone not in (None, zone):
                 continue
             group = room.machine.group
-            more = spent.get(group, 0.0) + _hold_bytes(ask.hold_bytes, spec, room, n)
-            if among is None and more > self.left.get(group, more):
-                # Where no more can be written there is no room.
+            more = spent.get(group, 0.0) + _allocation_bytes(ask.allocation_bytes, spec, room, n)
+            if among is None and more > self._bytes_left.get(group, more):
+                # The group's record cannot take another allocation.
                 continue
             spent[group] = more
             choices.append((room, n))
             count -= n
             if spec.same_zone:
-                trial.zone = zone
-            if trial.zone_room is not None:
-                trial.zone_room[zone] = trial.zone_allows(zone) - n
+                request.zone = zone
+            if request.zone_room is not None:
+                request.zone_room[zone] = request.zone_allows(zone) - n
         return choices
 
-    def _alike(self, ask: Ask, count: int) -> Demand | None:
-        """What single tasks have in common that may share a ranking; None for any other ask.
+    def _ranking_key(self, ask: Ask, count: int) -> Demand | None:
+        """Return a key for single tasks that may share a ranking; None for any other request.
 
-        Some guests bring hundreds of small jobs, and ranking the whole fleet for each would hold the processor.
+        Some users submit hundreds of small jobs, and ranking the whole fleet for each would use up the processor.
         """
         spec = ask.spec
         if count != 1 or spec.tasks != 1 or spec.spread or ask.zone is not None or ask.failed_on:
@@ -434,21 +444,22 @@
         )
 
     def take(self, job: Job, choices: Iterable[Choice]) -> None:
-        """Take a job's places out of the free room of their machines."""
+        """Subtract a job's chosen tasks from the free capacity of their machines and count them against its team's
+        limit."""
         base = self._base_bytes(job)
         for room, n in choices:
             room.take(job.spec, n)
-            if room.machine.group in self.left:
-                self.left[room.machine.group] -= _hold_bytes(base, job.spec, room, n)
+            if room.machine.group in self._bytes_left:
+                self._bytes_left[room.machine.group] -= _allocation_bytes(base, job.spec, room, n)
         self.count(job, sum(n for _, n in choices))
 
     def give_back(self, job: Job, room: Room, count: int) -> None:
-        """A choice that is not made after all."""
+        """Return the capacity of a choice that is not used."""
         room.take(job.spec, -count)
         self.count(job, -count)
 
     def count(self, job: Job, total: int) -> None:
-        """Count tasks of a job against its team's limit."""
+        """Add tasks of a job to its team's usage; a negative number subtracts them."""
         if job.spec.team in self.usage:
             cpus, gpus = self.usage[job.spec.team]
             self.usage[job.spec.team] = (cpus + total * job.spec.cpus, gpus + total * job.spec.gpus)
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -135,7 +135,7 @@
         if not fits and room.machine.name not in busy:
             continue
         stoppable = [hold for hold in room.machine.holds if right.allowed(hold)]
-        if not (fits or stoppable) or not all(rule.holds(room, ask) for rule in checks):
+        if not (fits or stoppable) or not all(rule.allows(room, ask) for rule in checks):
             continue
         candidates = [(wall_us - hold.record.placed_us, hold, task) for hold in stoppable for task in hold.tasks]
         candidates.sort(key=lambda c: (c[0], c[1].job, c[2]))
--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -1,4 +1,4 @@
-"""The ordered rules of placement: validators drop machines, preferences rank the others.  Lower scores are better."""
+"""The placement rules: validators exclude machines, preferences rank the others.  Lower scores are better."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Room:
-    """A machine with the room that remains on it in the plan being made."""
+    """A machine with the capacity that is still free on it in the current plan."""
 
     machine: Machine
     type: MachineType
@@ -25,11 +25,11 @@
     gpus: float
     memory_gb: float
     blame: int = 0
-    """How much speaks for a fault of the machine: see `machine_health.machine_blame`."""
+    """The strength of the evidence for a fault of the machine: see `machine_health.machine_blame`."""
 
     def fits(self, spec: JobSpec) -> int:
-        """Return how many tasks of a job fit, at most as many as it has."""
-        # Asked for each machine and job: plain comparisons take half the time that `min` takes.
+        """Return how many tasks of a job fit, at most the job's number of tasks."""
+        # Called for each machine and job: plain comparisons take half the time that `min` takes.
         most: float = spec.tasks
         if spec.cpus > 0:
             number = (self.cpus + AMOUNT_TOLERANCE) // spec.cpus
@@ -46,7 +46,7 @@
         return int(most)
 
     def take(self, spec: JobSpec, count: int) -> None:
-        """Take the room for so many tasks of a job."""
+        """Subtract the resources of `count` tasks of a job from the free capacity."""
         self.cpus -= count * spec.cpus
         self.gpus -= count * spec.gpus
         self.memory_gb -= count * spec.memory_gb
@@ -54,32 +54,33 @@
 
 @dataclass(slots=True)
 class Ask:
-    """One job's request for machines, with what its other tasks already settle."""
+    """A job's request for machines, with the constraints that its already placed tasks impose."""
 
     spec: JobSpec
     zone: str | None = None
-    """The zone that its tasks must share, when one of them has a place."""
+    """The zone that its tasks must share, once one of them is placed."""
     zone_room: dict[str, int] | None = None
-    """With `spread`: how many more of its tasks each zone may take; others take `spread_most`."""
+    """With `spread`: how many more of its tasks each zone may take; `spread_most` for zones not in it."""
     spread_most: int = 0
     image_within_s: float | None = None
-    """Only machines that have the image, or fetch it within this time, will do."""
+    """If given, only machines that have the image, or fetch it within this many seconds, are allowed."""
     scarcity: tuple[float, float, float] = (1.0, 1.0, 1.0)
-    """How scarce CPUs, GPUs and memory are, as weights."""
+    """The scarcity of CPUs, GPUs and memory, as weights."""
     spare_gpus: bool = False
-    """Whether tasks that are as urgent wait for GPUs."""
+    """Whether CPUs must be left for free GPUs, because tasks at least as urgent wait for GPUs."""
     failed_on: frozenset[str] = frozenset()
     """Machines on which the job has failed."""
     priority: int = 2
     """0 is the most urgent."""
-    hold_bytes: int = 0
-    """What an allocation for it takes of a record."""
-    sparing: bool = False
-    """Whether changes of the state service are scarce."""
-    due: set[str] = field(default_factory=set)
-    """Groups whose records will be written anyway."""
-    few: dict[str, int] = field(default_factory=dict)
-    """For each group how many records would have to be written more if all were like it: 0 for those that are due."""
+    allocation_bytes: int = 0
+    """Estimated bytes that an allocation of this job takes in a group record."""
+    writes_scarce: bool = False
+    """Whether writes to the state service are scarce."""
+    due_groups: set[str] = field(default_factory=set)
+    """Groups whose records are written anyway."""
+    extra_writes: dict[str, int] = field(default_factory=dict)
+    """For each group, how many more records would have to be written if all groups were like it; 0 for
+    `due_groups`."""
 
     def zone_allows(self, zone: str) -> int:
         """Return how many more of the job's tasks a zone may take."""
@@ -90,27 +91,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Validator:
-    """A rule that says whether a machine will do at all."""
+    """A rule that decides whether a machine may be used at all."""
 
     name: str
     reason: str
-    """Why a machine will not do, for `explain`."""
-    holds: Callable[[Room, Ask], bool]
+    """Why a machine is excluded, for `explain`."""
+    allows: Callable[[Room, Ask], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class Preference:
-    """A rule that scores machines; the lower the better."""
+    """A rule that scores machines; lower scores are better."""
 
     name: str
-    """By which the operators' file orders the rules."""
+    """The name by which the operators' file orders the rules."""
     reason: str
     """Why a machine has a score above 0, for `explain`."""
     score: Callable[[Room, Ask, OperatorSettings], float]
 
 
 def fetch_s(room: Room, ask: Ask) -> float:
-    """Return how many seconds the machine would take to fetch the job's image."""
+    """Return how many seconds the machine takes to fetch the job's image; 0 if it has the image."""
     if ask.spec.image in room.machine.images:
         return 0.0
     return ask.spec.image_gb / max(room.type.fetch_gb_per_s, 0.001)
@@ -121,7 +122,7 @@
 
 
 def _leaves_gpus_usable(room: Room, ask: Ask) -> bool:
-    """While tasks wait for GPUs, others leave each free GPU its part of the machine's CPUs."""
+    """While tasks wait for GPUs, other tasks must leave each free GPU its part of the machine's CPUs."""
     if not ask.spare_gpus or ask.spec.gpus > 0 or room.type.gpus <= 0:
         return True
     return room.cpus - ask.spec.cpus + AMOUNT_TOLERANCE >= room.gpus * room.type.cpus / room.type.gpus
@@ -146,11 +147,11 @@
 
 def _image(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
     seconds = fetch_s(room, ask)
-    # A fetch can eat an urgent job's whole wait; to the others it matters only when it is long.
+    # A fetch can use up all the time that an urgent job may wait; for other jobs, only a long one matters.
     return math.ceil(min(seconds / (3.0 if ask.priority <= 1 else 20.0), 6.0))
 
 
-def _scarce(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _spare_gpu_machines(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
     return 1 if room.type.gpus > 0 and ask.spec.gpus == 0 else 0
 
 
@@ -181,21 +182,21 @@
 
 
 def _few_groups(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
-    return ask.few.get(room.machine.group, 0)
+    return ask.extra_writes.get(room.machine.group, 0)
 
 
-def _changes(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
-    # While changes are scarce, room in few records is worth more than a cached image; not to what is urgent.
-    return ask.few.get(room.machine.group, 0) if ask.sparing and ask.priority > 1 else 0
+def _scarce_writes(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+    # While writes are scarce, writing few records is worth more than a cached image, except for urgent jobs.
+    return ask.extra_writes.get(room.machine.group, 0) if ask.writes_scarce and ask.priority > 1 else 0
 
 
 PREFERENCES = {
     rule.name: rule
     for rule in (
         Preference("trust", "tasks failed there lately", _trust),
-        Preference("changes", "more records would have to be written, and changes are scarce", _changes),
+        Preference("changes", "more records would have to be written, and changes are scarce", _scarce_writes),
         Preference("image", "it would have to fetch the image", _image),
-        Preference("scarce", "its GPUs are kept for jobs that need them", _scarce),
+        Preference("scarce", "its GPUs are kept for jobs that need them", _spare_gpu_machines),
         Preference("spot", "cheap machines are for the jobs that may use them", _spot),
         Preference(FEW_GROUPS, "more records would have to be written", _few_groups),
         Preference("packing", "it would leave more room unused", _packing),
@@ -204,51 +205,54 @@
 
 
 def valid(room: Room, ask: Ask) -> bool:
-    """Return whether all validators hold for a machine."""
-    return all(rule.holds(room, ask) for rule in VALIDATORS)
+    """Return whether all validators allow a machine."""
+    return all(rule.allows(room, ask) for rule in VALIDATORS)
 
 
 class _EqualRooms:
-    """Machines of one ranking that no rule tells apart, but for the group that each is in."""
+    """Machines of one ranking that differ, as far as the rules see, only in their groups."""
 
-    __slots__ = ("example", "fits", "peers")
+    __slots__ = ("example", "fits", "by_extra_writes")
 
     def __init__(self, example: Room, ask: Ask) -> None:
         self.example = example
         self.fits = example.fits(ask.spec) if valid(example, ask) else 0
-        """How many tasks each takes; 0: none of them will do."""
-        self.peers: dict[int, list[tuple[float, Room]]] = {}
-        """By how many records would have to be written more, the list of all machines of the same score."""
+        """How many tasks each of them takes; 0 if they may not be used."""
+        self.by_extra_writes: dict[int, list[tuple[float, Room]]] = {}
+        """By the number of additional records to write: the list of all machines with the same score, these
+        included."""
 
 
 def rank(rooms: list[Room], ask: Ask, count: int, knobs: OperatorSettings, rng: random.Random) -> list[Room]:
-    """Return the machines that will do, the best first; among equals the order is random.
+    """Return the machines that may be used, the best first; among equals the order is random.
 
-    `count` is how many tasks are to be placed.  `ask.few` is filled in.  Equal machines are judged once.  After each
-    machine come first those of its group that no rule up to `few-groups` tells from it: a commit costs a change for
-    each group.
+    `count` is the number of tasks to place.  `ask.extra_writes` is filled in.  Equal machines are evaluated only
+    once.  Each machine is followed by those of its group that the rules up to `few-groups` rate equally, because a
+    commit costs one write for each group.
     """
-    judged, fits = _judge(rooms, ask)
-    few = ask.few = {group: 0 if group in ask.due else -(-count // min(fit, count)) for group, fit in fits.items()}
+    valid_rooms, fits = _evaluate(rooms, ask)
+    extra_writes = ask.extra_writes = {
+        group: 0 if group in ask.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
+    }
     rules = [PREFERENCES[name] for name in knobs.rules]
     by_score: dict[tuple[float, ...], list[tuple[float, Room]]] = {}
-    for room, kind in judged:
-        number = few[room.machine.group]
-        peers = kind.peers.get(number)
-        if peers is None:
+    for room, equals in valid_rooms:
+        number = extra_writes[room.machine.group]
+        same_score = equals.by_extra_writes.get(number)
+        if same_score is None:
             score = tuple(rule.score(room, ask, knobs) for rule in rules)
-            peers = kind.peers[number] = by_score.setdefault(score, [])
-        peers.append((rng.random(), room))
-    upto = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
-    return _in_order(by_score, upto)
+            same_score = equals.by_extra_writes[number] = by_score.setdefault(score, [])
+        same_score.append((rng.random(), room))
+    prefix = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
+    return _in_order(by_score, prefix)
 
 
-def _judge(rooms: list[Room], ask: Ask) -> tuple[list[tuple[Room, _EqualRooms]], dict[str, int]]:
-    """Return the machines that will do, each with its equals, and how many tasks fit into each group."""
-    kinds: dict[Any, _EqualRooms] = {}
+def _evaluate(rooms: list[Room], ask: Ask) -> tuple[list[tuple[Room, _EqualRooms]], dict[str, int]]:
+    """Return the machines that may be used, each with its equals, and how many tasks fit into each group."""
+    by_key: dict[Any, _EqualRooms] = {}
     image, failed_on = ask.spec.image, ask.failed_on
     fits: dict[str, int] = {}
-    judged: list[tuple[Room, _EqualRooms]] = []
+    valid_rooms: list[tuple[Room, _EqualRooms]] = []
     for room in rooms:
         machine = room.machine
         key = (
@@ -260,26 +264,26 @@
             room.gpus,
             room.memory_gb,
         )
-        kind = kinds.get(key)
-        if kind is None:
-            kind = kinds[key] = _EqualRooms(room, ask)
-        if kind.fits:
-            judged.append((room, kind))
-            fits[machine.group] = fits.get(machine.group, 0) + kind.fits
-    return judged, fits
+        equals = by_key.get(key)
+        if equals is None:
+            equals = by_key[key] = _EqualRooms(room, ask)
+        if equals.fits:
+            valid_rooms.append((room, equals))
+            fits[machine.group] = fits.get(machine.group, 0) + equals.fits
+    return valid_rooms, fits
 
 
-def _in_order(by_score: dict[tuple[float, ...], list[tuple[float, Room]]], upto: int) -> list[Room]:
+def _in_order(by_score: dict[tuple[float, ...], list[tuple[float, Room]]], prefix: int) -> list[Room]:
     """Return the machines by score, and among equals by their random numbers.
 
-    With `upto`, those that have the first `upto` scores in common come group by group.
+    With `prefix` above 0, machines whose first `prefix` scores are equal are ordered group by group.
     """
     ranked: list[Room] = []
-    # Scores that are alike up to `few-groups` follow one another.
-    for _, scores in groupby(sorted(by_score), key=lambda score: score[:upto] if upto else score):
-        entries = [entry for score in scores for entry in sorted(by_score[score], key=_chance)]
-        if upto:
-            # The first of each group stands where it was ranked: a dict keeps its order.
+    # Sorting puts scores with the same prefix next to each other.
+    for _, scores in groupby(sorted(by_score), key=lambda score: score[:prefix] if prefix else score):
+        entries = [entry for score in scores for entry in sorted(by_score[score], key=_random_number)]
+        if prefix:
+            # Groups are ordered by their first machine, because a dict keeps its order.
             by_group: dict[str, list[Room]] = {}
             for _, room in entries:
                 by_group.setdefault(room.machine.group, []).append(room)
@@ -289,5 +293,5 @@
     return ranked
 
 
-def _chance(entry: tuple[float, Room]) -> float:
+def _random_number(entry: tuple[float, Room]) -> float:
     return entry[0]
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -49,7 +49,7 @@
     ),
     "a-spread-forgets-what-is-placed": (
         "ashtray/placement/plan.py",
-        "ask.zone_room[zone] = ask.zone_room.get(zone, ask.spread_most) - len(hold.tasks)",
+        "ask.zone_room[zone] = ask.zone_room.get(zone, ask.spread_most) - len(allocation.tasks)",
         "pass",
     ),
 }
--- a/tests/mutants/ownership.py
+++ b/tests/mutants/ownership.py
@@ -28,7 +28,7 @@
     "silent-within-its-lease": (REVIEW, "if us > self._lease_us + SILENT_US}", "if us > self._lease_us // 3}"),
     "others-jobs-keep-room-beyond-their-share": (
         "ashtray/placement/placer.py",
-        "tasks = self._placeable(job, tasks, theirs)",
+        "tasks = self._within_owner_share(job, tasks, peer_usage)",
         "pass",
     ),
     "silence-counted-anew": (
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -173,7 +173,9 @@
     fits: dict[str, int] = {}
     for room in fitting:
         fits[room.machine.group] = fits.get(room.machine.group, 0) + room.fits(ask.spec)
-    ask.few = {group: 0 if group in ask.due else -(-count // min(fit, count)) for group, fit in fits.items()}
+    ask.extra_writes = {
+        group: 0 if group in ask.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
+    }
     scored = [(tuple(rule.score(room, ask, knobs) for rule in rules), rng.random(), room) for room in fitting]
     scored.sort(key=lambda entry: entry[:2])
     if not upto:
@@ -186,7 +188,7 @@
 
 @given(st.integers(0, 10**6), st.integers(1, 12), st.booleans(), st.sampled_from([0, 1, 3]), st.booleans())
 def test_machines_judged_together_rank_as_if_each_were_judged_by_itself(
-    seed: int, count: int, gang: bool, priority: int, sparing: bool
+    seed: int, count: int, gang: bool, priority: int, writes_scarce: bool
 ) -> None:
     draw = random.Random(seed)
     kinds = {"big": KIND, "flat": MachineType("flat", 16.0, 0.0, 64.0, 60.0, 0.2, 1.0, 0.2, 20_000_000, ("a", "b"))}
@@ -206,11 +208,23 @@
     kind_of = "gang" if gang else "array"
     spec = JobSpec("any", "crew", kind_of, priority, count, cpus, gpus, 8.0, "img", 3.0, spot=draw.random() < 0.5)
     knobs = OperatorSettings() if draw.random() < 0.7 else OperatorSettings(rules=("trust", "image", "packing"))
-    ask = Ask(spec, priority=priority, sparing=sparing, due={"group-1"}, failed_on=frozenset({"vm-1", "vm-2"}))
-    plain = Ask(spec, priority=priority, sparing=sparing, due={"group-1"}, failed_on=frozenset({"vm-1", "vm-2"}))
+    ask = Ask(
+        spec,
+        priority=priority,
+        writes_scarce=writes_scarce,
+        due_groups={"group-1"},
+        failed_on=frozenset({"vm-1", "vm-2"}),
+    )
+    plain = Ask(
+        spec,
+        priority=priority,
+        writes_scarce=writes_scarce,
+        due_groups={"group-1"},
+        failed_on=frozenset({"vm-1", "vm-2"}),
+    )
     found = rank(list(rooms), ask, count, knobs, random.Random(seed))
     assert found == ranked_one_by_one(rooms, plain, count, knobs, random.Random(seed))
-    assert ask.few == plain.few
+    assert ask.extra_writes == plain.extra_writes
 
 
 CREW = JobSpec("any", "crew", "array", 2, 9, 2.0, 1.0, 3.0, "img", 1.0)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
 from ashtray.kernel import SECOND_US, Sleep
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Allocation, reuse_allocations
-from ashtray.placement.placer import Draft, Item
+from ashtray.placement.placer import Draft, BatchItem
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import VALUE_SHARE, Limits
@@ -39,7 +39,7 @@
     room: Any = SimpleNamespace(machine=cluster_state.machines[f"vm-{zone}"], type=kind)
     grants: Any = SimpleNamespace(limited=lambda team: False)
     draft = Draft(cluster_state, grants, SimpleNamespace(freed={}), Limits(16, 60_000, 32_768))  # type: ignore[arg-type]
-    assert draft.allows(cluster_state.jobs["job-1"], Item("job-1", [1], [(room, 1)], 0)) == allowed
+    assert draft.allows(cluster_state.jobs["job-1"], BatchItem("job-1", [1], [(room, 1)], 0)) == allowed
 
 
 def test_a_record_over_its_share_of_the_limit_is_not_written() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -209,6 +209,6 @@
     for count in (6, 12, 3):
         for job in core.cluster_state.jobs.values():
             for within_s in (6.0, None):
-                assert core.placer._victims(job, plan, count, set(), within_s) == {}
+                assert core.placer._find_victims(job, plan, count, set(), within_s) == {}
     # Once where the image is in time and once anywhere, for six tasks and for the fewer three.
     assert [n for _, n in looks] == [6, 6, 3, 3]
