--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -73,9 +73,9 @@
         if served is not None:
             why = f"it may go before its turn: {served:.0%} of its class was served"
             answer["waiting"].insert(1, f"{why}, so jobs that have missed all their times wait for it")
-        if standing is not None and standing.by_room:
+        if standing is not None and standing.by_work:
             answer["waiting"].insert(1, "no time is stated for it: jobs of its team that need less room go first")
-        elif standing is not None and standing.begins:
+        elif standing is not None and standing.starts_first:
             answer["waiting"].insert(1, "it goes before the other jobs of its team until it has begun")
         elif standing is not None and standing.aged:
             answer["waiting"].insert(1, "it has waited so long that it goes before the other jobs of its team")
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -208,7 +208,7 @@
                 tasks = self._within_owner_share(job, tasks, peer_usage)
             if not tasks:
                 continue
-            begins = job.id in self.planner.times.begins and job.spec.kind != "gang"
+            starts_first = job.id in self.planner.times.starts_first and job.spec.kind != "gang"
             if plan.writes_scarce and not mine and not urgent:
                 # Its controller lacks writes rather than free capacity.  Otherwise planning for the jobs of other
                 # controllers takes half of the processor time, and the capacity reserved for them stays unused for a
@@ -228,7 +228,7 @@
                 if not choices and not mine and urgent and plan.freed:
                     # Only as a last resort: while writes are scarce, each fold for this purpose costs a placement.
                     choices = plan.place(job, len(tasks), pick_chance, within_s, freed=True)
-                if begins:
+                if starts_first:
                     # It goes first only so that it begins, so one machine will do; one task costs as many writes as
                     # several on that machine.
                     for room, n in choices[1:]:
@@ -261,7 +261,7 @@
                 # An urgent job of another controller has capacity but no commit yet: leave it the writes that this
                 # job would use.  Not for long: its controller may see less free capacity, or be gone.
                 continue
-            if job.spec.kind != "gang" and not begins and sum(n for _, n in choices) < len(tasks):
+            if job.spec.kind != "gang" and not starts_first and sum(n for _, n in choices) < len(tasks):
                 # There is capacity for only a few of many tasks.  Such placements are combined into fewer commits,
                 # for each costs writes.  While writes are scarce, the first job would otherwise use them all on
                 # capacity as it is freed, and jobs behind it that could go elsewhere would never get their turn.
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -93,17 +93,21 @@
         "if above < self.cluster_state.version(TEAM + name) <= revision:",
         "if above < self.cluster_state.version(TEAM + name):",
     ),
-    "nothing-ages": (ORDER, "return -1 if self.aged or self.begins else self.missed", "return self.missed"),
+    "nothing-ages": (ORDER, "return -1 if self.aged or self.starts_first else self.missed", "return self.missed"),
     "bands-across-teams": (
         ORDER,
         "level = (job.priority, job.suspect, job.spec.team, ",
         'level = (job.priority, job.suspect, "", ',
     ),
-    "least-room-never-ages": (ORDER, "aged = by_room and age_us > PATIENT * self._pace.run_us(job)", "aged = False"),
+    "least-room-never-ages": (
+        ORDER,
+        "aged = by_work and age_us > UNTIMED_AGED_FACTOR * self._pace.run_us(job)",
+        "aged = False",
+    ),
     "largest-do-not-begin": (
         ORDER,
-        "begins = by_room and not aged and age_us > BEGIN_SHARE * BEGIN_US",
-        "begins = False",
+        "starts_first = by_work and not aged and age_us > START_FIRST_SHARE * START_WITHIN_US",
+        "starts_first = False",
     ),
     "claims-not-guarded": (
         "ashtray/teams/guarantees.py",
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -291,7 +291,7 @@
 
 
 def test_the_largest_begins_on_one_machine_and_leaves_the_room_to_the_others(monkeypatch):
-    monkeypatch.setattr(queue_order, "BEGIN_US", 8 * SECOND)
+    monkeypatch.setattr(queue_order, "START_WITHIN_US", 8 * SECOND)
     model = Model(5, 3)
     model.checks()
     for host in model.hosts:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
 from ashtray.kernel import SECOND_US, Sleep
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Allocation, reuse_allocations
-from ashtray.placement.placer import Draft, BatchItem
+from ashtray.placement.placer import BatchItem, Draft
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.store.client import VALUE_SHARE, Limits
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -13,7 +13,13 @@
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import queue
-from ashtray.placement.queue_order import AGED, BEGIN_SHARE, BEGIN_US, PATIENT, StatedTimes
+from ashtray.placement.queue_order import (
+    AGED_FACTOR,
+    START_FIRST_SHARE,
+    START_WITHIN_US,
+    UNTIMED_AGED_FACTOR,
+    StatedTimes,
+)
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 
@@ -49,7 +55,7 @@
 
 
 def test_nothing_starves():
-    ages = [200.0 * AGED + 1, 160.0, 20.0]
+    ages = [200.0 * AGED_FACTOR + 1, 160.0, 20.0]
     assert order([("pages", age, 1, "studio") for age in ages]) == [0, 2, 1]
 
 
@@ -117,7 +123,7 @@
 
 def test_the_largest_array_does_not_wait_for_ever():
     # It has waited twenty times as long as a task of it runs, and the run's start.
-    cluster_state = panels([150, 3, 2], [PATIENT * 26.0, 4.0, 9.0])
+    cluster_state = panels([150, 3, 2], [UNTIMED_AGED_FACTOR * 26.0, 4.0, 9.0])
     holds = [AllocationRecord("job-0", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
     group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
     cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
@@ -125,7 +131,7 @@
 
 
 def test_what_has_not_begun_after_most_of_the_four_minutes_goes_first_until_it_has():
-    late_s = BEGIN_SHARE * BEGIN_US / SECOND_US
+    late_s = START_FIRST_SHARE * START_WITHIN_US / SECOND_US
     cluster_state = panels([150, 3, 120, 2], [late_s + 9, 4.0, late_s + 30, late_s - 1])
     assert served(cluster_state) == [2, 0, 3, 1]
     holds = [AllocationRecord("job-2", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
