--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -1,20 +1,21 @@
-"""A minimum share of service for every class of jobs, also under pressure.
+"""A minimum share of service for every class of jobs, also under overload.
 
-Under pressure the queue serves what is urgent, and a class of low priority gets what is left: at times nothing.  The
-users count a day as lost on which less than half of any class is served.  So one strict rule stands above the queue's
-order.  Where less than `SHARE` of a class's jobs were served, its first jobs, as many as would restore the share, go
+Under overload the queue serves urgent jobs, and a class of low priority gets the rest, which at times is nothing.
+Users count a day as lost if less than half of the jobs of any class are served.  So one strict rule overrides the
+queue order: if less than `SHARE` of a class's jobs were served, its first jobs, as many as restore the share, go
 before jobs that have missed *all* the times stated for them, whatever the priorities.  They stay behind jobs that can
-still make a time.  They get turns for room that is free or becomes free, and for machines to be rented; they stop no
-tasks that they might not stop otherwise, and their tasks are not stopped for jobs that have missed all their times.
+still meet a time.  They are earlier in turn for capacity that is or becomes free, and for rented machines.  They
+preempt no tasks that they may not preempt otherwise, and their tasks are not preempted for jobs that have missed all
+their times.
 
-*Came* and *served* are counted over the jobs that became ready since this process first read the cluster state:
-what was over before is not read at a start, and a count that began at zero for it would call every class unserved.
- A job
-counts as having come once it has waited `GRACE` times as long as one of its tasks runs, and as served while all its
-tasks have a place or are done.  Cancelled jobs and jobs that fail wherever they are tried are not counted.  After a
-start of all controllers the rule has no effect until enough jobs have come.
+Jobs count from the time when this process first read the cluster state.  Final states of earlier jobs are not read at
+a start, so counting earlier jobs would make every class look unserved.  A job counts as arrived once it has waited
+`GRACE_RUNS` times as long as one of its tasks runs, and as served while all its tasks are placed or done.  Cancelled
+jobs and jobs that fail wherever they are tried do not count.  After a start of all controllers the rule has no effect
+until enough jobs have arrived.
 
-No record is kept and nothing is sent to others: each controller counts what all of them see, a second or two apart.
+Nothing is stored or sent to peers: each controller counts on its own copy of the cluster state, and the copies differ
+by a second or two.
 """
 
 from __future__ import annotations
@@ -28,49 +29,52 @@
 from ashtray.placement.cluster_state import ClusterState
 
 SHARE = 0.6
-"""The part of a class's jobs that is to be served."""
-GRACE = 2
-LOOK_US = 2 * SECOND_US
-"""The pause between two counts."""
-MOST = 20_000
-"""Jobs that are counted; the oldest are dropped."""
+"""The part of a class's jobs that should be served."""
+GRACE_RUNS = 2
+"""How many times as long as one of its tasks runs a job may wait before it counts as arrived."""
+COUNT_PAUSE_US = 2 * SECOND_US
+"""The pause between two counts of the cluster state."""
+MAX_SERVED = 20_000
+"""The maximum number of served jobs that are remembered; the oldest are dropped."""
 Class = tuple[str, str]
-"""A team and a class of its jobs."""
+"""A team and one of its job classes."""
 
 
 class MinimumShare:
-    """What came and what was served, by team and class, since this process began to watch."""
+    """Counts the jobs that arrived and were served, by team and class, since this process first read the cluster
+    state."""
 
     def __init__(self, cluster_state: ClusterState, pace: Pace) -> None:
         self._cluster_state = cluster_state
         self._pace = pace
         self._loads = -1
         self._since_us = 0
-        self._looked_us = -LOOK_US
+        self._counted_us = -COUNT_PAUSE_US
         self._live: dict[str, Class] = {}
-        """Jobs that are watched and not over yet."""
+        """The class of each live job that is counted, by job id."""
         self._served: dict[str, Class] = {}
-        """Jobs all of whose tasks have a place or are done."""
+        """The class of each job all of whose tasks are placed or done, by job id."""
         self._due: dict[Class, int] = {}
         self.shares: dict[Class, float] = {}
-        """What was served of those below the minimum share."""
+        """The served share of each class below the minimum share."""
         self.too_late: set[str] = set()
-        """The jobs that have missed all the times stated for them, as the queue was last made."""
+        """The ids of the jobs that have missed all the times stated for them, as of the last call of `move_up`."""
 
     def due(self, wall_us: int) -> dict[Class, int]:
-        """For each class below the minimum share, how many jobs would restore it; the least served first."""
+        """Return how many jobs would restore the share of each class below the minimum, the least served class
+        first."""
         if self._loads != self._cluster_state.loads:
-            # The cluster state was begun anew: what ended meanwhile was not seen.
+            # The cluster state was read again from scratch: the jobs that ended meanwhile are unknown.
             self._loads, self._since_us = self._cluster_state.loads, wall_us
             self._live.clear()
             self._served.clear()
-            self._looked_us = wall_us - LOOK_US
-        if wall_us - self._looked_us >= LOOK_US:
-            self._looked_us = wall_us
-            self._look(wall_us)
+            self._counted_us = wall_us - COUNT_PAUSE_US
+        if wall_us - self._counted_us >= COUNT_PAUSE_US:
+            self._counted_us = wall_us
+            self._count(wall_us)
         return self._due
 
-    def _look(self, wall_us: int) -> None:
+    def _count(self, wall_us: int) -> None:
         cluster_state = self._cluster_state
         waiting = cluster_state.waiting()
         for job_id, name in list(self._live.items()):
@@ -80,7 +84,7 @@
                     self._served[job_id] = name
                 else:
                     self._served.pop(job_id, None)
-        late: Counter[Class] = Counter()
+        overdue: Counter[Class] = Counter()
         for job in cluster_state.jobs.values():
             if job.ready_us < self._since_us or job.suspect or not cluster_state.dependencies.ready(job):
                 continue
@@ -89,22 +93,23 @@
             if job.id not in waiting:
                 self._served[job.id] = name
                 continue
-            # What lost its places, or was stopped, waits anew.
+            # A job whose tasks lost their machines or were stopped waits again.
             self._served.pop(job.id, None)
-            if wall_us - job.ready_us > GRACE * self._pace.run_us(job):
-                late[name] += 1
-        while len(self._served) > MOST:
+            if wall_us - job.ready_us > GRACE_RUNS * self._pace.run_us(job):
+                overdue[name] += 1
+        while len(self._served) > MAX_SERVED:
             del self._served[next(iter(self._served))]
         served = Counter(self._served.values())
-        self.shares = {name: served[name] / (served[name] + n) for name, n in late.items()}
+        self.shares = {name: served[name] / (served[name] + n) for name, n in overdue.items()}
         self.shares = {name: share for name, share in self.shares.items() if share < SHARE}
-        lacking = sorted(self.shares, key=lambda name: (self.shares[name], name))
-        self._due = {name: math.ceil(SHARE * (served[name] + late[name])) - served[name] for name in lacking}
+        below_minimum = sorted(self.shares, key=lambda name: (self.shares[name], name))
+        self._due = {name: math.ceil(SHARE * (served[name] + overdue[name])) - served[name] for name in below_minimum}
 
-    def lift(self, jobs: list[Job], too_late: set[str], wall_us: int) -> list[Job]:
-        """The queue with the jobs that are due before the first that is too late, those of the lowest share first.
+    def move_up(self, jobs: list[Job], too_late: set[str], wall_us: int) -> list[Job]:
+        """Return the queue with the jobs that restore the minimum shares moved before the first job that is too late.
 
-        A class whose jobs are too late may be below the minimum share as well: then it takes turns with the others.
+        The least served class goes first.  A class with jobs that are too late may itself be below the minimum share;
+        it is treated like the others.
         """
         due = self.due(wall_us)
         self.too_late = too_late
@@ -116,10 +121,11 @@
             found = by_class.get((job.spec.team, job.spec.job_class))
             if found is not None and not job.suspect:
                 found.append(job)
-        lifted = [job for name, found in by_class.items() for job in found[: due[name]]]
-        names = {job.id for job in lifted}
-        return [*jobs[:first], *lifted, *(job for job in jobs[first:] if job.id not in names)]
+        moved = [job for name, found in by_class.items() for job in found[: due[name]]]
+        names = {job.id for job in moved}
+        return [*jobs[:first], *moved, *(job for job in jobs[first:] if job.id not in names)]
 
     def spared(self, job: Job) -> frozenset[Class]:
-        """The classes whose tasks are not stopped for a job: for one that is too late, those below the share."""
+        """Return the classes whose tasks may not be stopped for a job: for one that is too late, those below the
+        minimum share."""
         return frozenset(self.shares) if job.id in self.too_late else frozenset()
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -14,7 +14,7 @@
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_edit import GroupEdit
 from ashtray.placement.plan import IMAGE_ENTRY_BYTES, Choice, Plan, Planner, demand
-from ashtray.placement.preemption import Right, Victims, choose_victims, stop_for
+from ashtray.placement.preemption import PreemptionRules, Victims, choose_victims, stop_for
 from ashtray.placement.prospects import Prospects
 from ashtray.placement.records import AMOUNT_TOLERANCE, AllocationRecord
 from ashtray.placement.state_keys import TEAM
@@ -440,8 +440,8 @@
             if plan.min_without_victims.get((alike, image), count + 1) <= count:
                 return {}
         self.counts["looks for work to stop"] += 1
-        right = Right(self.base.cluster_state, guaranteed, job, plan.excess(), spared)
-        victims = choose_victims(plan, job, count, right, self.base.kernel.wall_us, within_s)
+        rules = PreemptionRules(self.base.cluster_state, guaranteed, job, plan.excess(), spared)
+        victims = choose_victims(plan, job, count, rules, self.base.kernel.wall_us, within_s)
         if not victims:
             plan.min_without_victims[(alike, None if within_s is None else spec.image)] = count
         return victims
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -74,7 +74,7 @@
     if times is None:
         return jobs, guaranteed
     jobs, too_late = times.arrange(jobs, guaranteed, cluster_state, wall_us)
-    return jobs if floor is None else floor.lift(jobs, too_late, wall_us), guaranteed
+    return jobs if floor is None else floor.move_up(jobs, too_late, wall_us), guaranteed
 
 
 def back_off_us(job: Job) -> int:
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -15,7 +15,7 @@
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan, queue
-from ashtray.placement.preemption import Right, choose_victims, stop_for
+from ashtray.placement.preemption import PreemptionRules, choose_victims, stop_for
 from ashtray.placement.records import AMOUNT_TOLERANCE, AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import CLAIM, GROUP, TYPES
 from ashtray.runs import decode_runs, encode_runs
@@ -71,7 +71,9 @@
         _, inside = queue(cluster_state, TEAMS)
         plan = Plan(cluster_state, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
         job = cluster_state.jobs[job_id]
-        victims = choose_victims(plan, job, count, Right(cluster_state, inside, job, plan.excess()), 10**9, None)
+        victims = choose_victims(
+            plan, job, count, PreemptionRules(cluster_state, inside, job, plan.excess()), 10**9, None
+        )
         return stop_for(cluster_state, TEAMS, inside, job, victims, LIMITS, by, 10**9) if victims else None
 
 
@@ -129,7 +131,7 @@
     _, inside = queue(cluster_state, TEAMS)
     plan = Plan(cluster_state, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
     job = cluster_state.jobs["job-2"]
-    victims = choose_victims(plan, job, 1, Right(cluster_state, inside, job, plan.excess()), 10**9, None)
+    victims = choose_victims(plan, job, 1, PreemptionRules(cluster_state, inside, job, plan.excess()), 10**9, None)
     assert victims
     machine = MachineRecord("x", holds=[hold("job-1", {0, 1, 2, 3}, "b")])
     world.put({f"{GROUP}vm-0": msgspec.to_builtins(GroupRecord("m", "y", {"vm-0": machine}))})
@@ -221,8 +223,8 @@
     world.put({LIVE + "job-9": job_record("b", 2, 2.0, 3), LIVE + "job-2": job_record("c", 1, 2.0, 2)})
     cluster_state = world.cluster_state()
     asked: list[str] = []
-    allowed = Right.allowed
-    monkeypatch.setattr(Right, "allowed", lambda self, held: asked.append(held.job) or allowed(self, held))
+    allowed = PreemptionRules.allowed
+    monkeypatch.setattr(PreemptionRules, "allowed", lambda self, held: asked.append(held.job) or allowed(self, held))
     txn = world.stopping(cluster_state, "job-2", 1)
     assert asked == ["job-9"]
     assert txn is not None and world.apply(txn) and stopped(world.cluster_state(), "b") == 2.0
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -19,7 +19,7 @@
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Fiber, Kernel, Reply, Signal, Wait
 from ashtray.placement.cluster_state import MAX_OVER
-from ashtray.placement.minimum_share import MOST as MOST_SERVED
+from ashtray.placement.minimum_share import MAX_SERVED as MOST_SERVED
 from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.state_keys import GROUP
 from tests import model as model_module
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -21,7 +21,7 @@
 from ashtray.placement import compact_record
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan
-from ashtray.placement.preemption import Right, Victims, choose_victims
+from ashtray.placement.preemption import PreemptionRules, Victims, choose_victims
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import ADOPTED, GROUP
 from ashtray.runs import decode_runs
@@ -795,7 +795,7 @@
 
 
 def victims_for(plan: Plan, job: Job) -> Victims:
-    right = Right(plan.cluster_state, set(), job, plan.excess())
+    right = PreemptionRules(plan.cluster_state, set(), job, plan.excess())
     return choose_victims(plan, job, job.spec.tasks, right, 1000, None)
 
 
