--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -1,4 +1,4 @@
-"""Why a job waits, or why it is where it is, rule by rule."""
+"""Explains to users why a job waits, or how the rules rate the machines that it runs on."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
     run: Estimate | None = None,
     served: float | None = None,
 ) -> dict[str, Any]:
-    """An answer for a person: plain reasons, and the scores of the rules where tasks have places.
+    """Return the answer for a user: why tasks wait, and the rules' scores of the machines where tasks run.
 
-    `served`: the share of its class that was served, if that is below the minimum share.
+    `owner` is the controller that places the job, `run` the estimate of its run time, and `served` the served share
+    of its class if that is below the minimum share.
     """
     spec = job.spec
     placed = plan.cluster_state.placed(job.id)
@@ -51,14 +52,14 @@
         }
     ask = plan.ask(job)
     rooms = {room.machine.name: room for room in plan.rooms}
-    for (name, _), hold in sorted(plan.cluster_state.allocations.get(job.id, {}).items()):
+    for (name, _), allocation in sorted(plan.cluster_state.allocations.get(job.id, {}).items()):
         room = rooms.get(name)
-        place: dict[str, Any] = {"machine": name, "attempt": hold.attempt, "tasks": hold.record.tasks}
+        place: dict[str, Any] = {"machine": name, "attempt": allocation.attempt, "tasks": allocation.record.tasks}
         if room is None:
             place["note"] = "the machine is being returned"
         else:
             place["rules"] = {n: PREFERENCES[n].score(room, ask, plan.knobs) for n in plan.knobs.rules}
-        if hold.record.stop_us >= 0:
+        if allocation.record.stop_us >= 0:
             place["note"] = "being stopped"
         answer["places"].append(place)
     dependencies = plan.cluster_state.dependencies
@@ -69,7 +70,7 @@
         return answer
     left = [n for n in range(spec.tasks) if n not in placed and n not in finished]
     if left and not (spec.kind == "gang" and placed):
-        answer["waiting"] = _waits(plan, job, len(left), wall_us, list(rooms.values()))
+        answer["waiting"] = _waiting_reasons(plan, job, len(left), wall_us, list(rooms.values()))
         if served is not None:
             why = f"it may go before its turn: {served:.0%} of its class was served"
             answer["waiting"].insert(1, f"{why}, so jobs that have missed all their times wait for it")
@@ -85,7 +86,7 @@
     return answer
 
 
-def _waits(plan: Plan, job: Job, left: int, wall_us: int, rooms: list[Room]) -> list[str]:
+def _waiting_reasons(plan: Plan, job: Job, left: int, wall_us: int, rooms: list[Room]) -> list[str]:
     spec = job.spec
     reasons = [f"{left} tasks wait for a place"]
     pause_us = back_off_us(job) - (wall_us - job.record.error_us)
@@ -96,21 +97,21 @@
     if team is not None:
         if tasks_within(team, *plan.usage[team.name], spec) < need:
             reasons.append(f"team {team.name} is at its limit")
-            reasons += _limits(plan, team, spec)
-        reasons += _guarantees(plan, team)
+            reasons += _limit_reasons(plan, team, spec)
+        reasons += _guarantee_reasons(plan, team)
     ask = plan.ask(job)
     blocked: Counter[str] = Counter()
     for room in rooms:
-        broken = next((rule for rule in VALIDATORS if not rule.allows(room, ask)), None)
-        blocked[broken.reason if broken else "has room, and jobs before it may take it"] += 1
+        failed_rule = next((rule for rule in VALIDATORS if not rule.allows(room, ask)), None)
+        blocked[failed_rule.reason if failed_rule else "has room, and jobs before it may take it"] += 1
     reasons += [f"{number} machines: {reason}" for reason, number in blocked.most_common()]
     if not rooms:
         reasons.append("no machines are up")
     return reasons
 
 
-def _limits(plan: Plan, team: Team, spec: JobSpec) -> list[str]:
-    """How much of a limit is in use, and where the rest of it lies."""
+def _limit_reasons(plan: Plan, team: Team, spec: JobSpec) -> list[str]:
+    """Return how much of a team's limit is in use, and which controllers hold the rest of it."""
     shares = plan.cluster_state.shares.get(team.name, {})
     reasons = []
     parts = ((0, "CPUs", team.cpus_max, spec.cpus), (1, "GPUs", team.gpus_max, spec.gpus))
@@ -119,25 +120,29 @@
             free = {
                 host: share[n] - plan.cluster_state.team_usage(team.name, host)[n] for host, share in shares.items()
             }
-            promised = ", ".join(
+            free_parts = ", ".join(
                 f"{left:g} with {host}" for host, left in sorted(free.items()) if left > AMOUNT_TOLERANCE
             )
             used = plan.cluster_state.team_usage(team.name)[n]
-            reasons.append(f"limit: {used:g} of {limit:g} {what} in use" + (f", {promised}" if promised else ""))
+            reasons.append(f"limit: {used:g} of {limit:g} {what} in use" + (f", {free_parts}" if free_parts else ""))
     return reasons
 
 
-def _guarantees(plan: Plan, team: Team) -> list[str]:
-    """What a team has of its guarantee, while work of others is stopped for it."""
-    claim = plan.cluster_state.claims
-    going = {
-        name: amounts for name, amounts in leaving(plan.cluster_state).items() if name != team.name and name in claim
+def _guarantee_reasons(plan: Plan, team: Team) -> list[str]:
+    """Return how much of a team's guarantee is in use, and what other teams' preempted tasks will add to it."""
+    claims_by_team = plan.cluster_state.claims
+    leaving_amounts = {
+        name: amounts
+        for name, amounts in leaving(plan.cluster_state).items()
+        if name != team.name and name in claims_by_team
     }
     used = plan.cluster_state.team_usage(team.name)
     reasons = []
     for n, what, amount in ((0, "CPUs", team.cpus), (1, "GPUs", team.gpus)):
         if amount and used[n] + AMOUNT_TOLERANCE < amount:
-            gives = ((name, given[n]) for name, given in sorted(going.items()) if given[n])
-            room = ", ".join(f"{given:g} come from team {name}" for name, given in gives)
-            reasons.append(f"guarantee: {used[n]:g} of {amount:g} {what} in use" + (f", {room}" if room else ""))
+            contributions = ((name, given[n]) for name, given in sorted(leaving_amounts.items()) if given[n])
+            contributed = ", ".join(f"{given:g} come from team {name}" for name, given in contributions)
+            reasons.append(
+                f"guarantee: {used[n]:g} of {amount:g} {what} in use" + (f", {contributed}" if contributed else "")
+            )
     return reasons
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -334,7 +334,7 @@
         """
         if self._allowed(job, batch) >= count:
             return True
-        if plan.prospects.any(job):
+        if plan.prospects.can_be_placed(job):
             self._note_short(ShortJob(job, count, turn))
         return False
 
@@ -407,7 +407,7 @@
     def _shares_for(self, team: str, jobs: list[ShortJob]) -> Txn | None:
         """Return the transaction that raises this controller's share for the first job that can get more, or None."""
         prospects = Prospects(self.base.cluster_state, self.base.teams)
-        wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.any)
+        wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.can_be_placed)
         for short in jobs:
             job = short.job
             txn = self.grants.reshare(team, job.spec, short.count, wants, short.turn, job.priority <= URGENT)
--- a/tests/mutants/waiting.py
+++ b/tests/mutants/waiting.py
@@ -6,15 +6,15 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "what-nothing-can-hold-keeps-its-share": (
         PLACER,
-        "self._owner, self.presence.able(), prospects.any)",
+        "self._owner, self.presence.able(), prospects.can_be_placed)",
         "self._owner, self.presence.able())",
     ),
-    "what-nothing-can-hold-asks-for-a-share": (PLACER, "if plan.prospects.any(job):", "if True:"),
+    "what-nothing-can-hold-asks-for-a-share": (PLACER, "if plan.prospects.can_be_placed(job):", "if True:"),
     "services-are-taken-to-end": (PROSPECTS, 'if job is None or job.spec.kind != "service":', "if True:"),
     "prospects-of-the-limit-are-not-looked-at": (
         PROSPECTS,
-        "return self._within_limit(job.spec, count) and self._room(job) >= count",
-        "return self._room(job) >= count",
+        "return self._within_limit(job.spec, count) and self._fitting_tasks(job) >= count",
+        "return self._fitting_tasks(job) >= count",
     ),
     "moving-what-is-over-leaves-a-debt": (
         "ashtray/workers/desk.py",
