--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -41,8 +41,7 @@
 
 
 class MinimumShare:
-    """Counts the jobs that arrived and were served, by team and class, since this process first read the cluster
-    state."""
+    """Counts the jobs that arrived and were served, by team and class, since the cluster state was first read."""
 
     def __init__(self, cluster_state: ClusterState, pace: Pace) -> None:
         self._cluster_state = cluster_state
@@ -61,7 +60,7 @@
         """The ids of the jobs that have missed all the times stated for them, as of the last call of `move_up`."""
 
     def due(self, wall_us: int) -> dict[Class, int]:
-        """Return how many jobs would restore the share of each class below the minimum, the least served class
+        """Return how many jobs would restore the minimum share of each class below it, the least served class
         first."""
         if self._loads != self._cluster_state.loads:
             # The cluster state was read again from scratch: the jobs that ended meanwhile are unknown.
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -120,8 +120,10 @@
         return min(sum(self._recent_failures) / len(self._recent_failures), self.base.knobs.widen_cap)
 
     def run(self) -> Fiber[None]:
-        """Run placement rounds forever: after a change of the cluster state, after `RETRY_US`, or at once if
-        requested."""
+        """Run placement rounds forever.
+
+        Each starts after a change of the cluster state, after `RETRY_US`, or at once if requested.
+        """
         while True:
             if not self._round_requested:
                 yield Wait(self.kick, RETRY_US)
@@ -220,8 +222,8 @@
                 continue
             choices: list[Choice] = []
             # For a class with an objective on waiting time, first try the machines that have its image in time.
-            aim_s = self.pace.urgent.get(job.spec.job_class)
-            for within_s in (None,) if aim_s is None else (0.8 * aim_s, None):
+            objective_s = self.pace.urgent.get(job.spec.job_class)
+            for within_s in (None,) if objective_s is None else (0.8 * objective_s, None):
                 # Capacity that only this controller knows to be free is for its own jobs and for urgent ones.  Other
                 # jobs of other controllers could not be placed there, and it would stay unused until a fold shows it.
                 choices = plan.place(job, len(tasks), pick_chance, within_s, freed=mine, shared=shared)
@@ -309,7 +311,7 @@
 
     def _keep_worthwhile(self, plan: Plan, job: Job, choices: list[Choice]) -> list[Choice]:
         """Return the choices in groups that are written anyway or take `MIN_TASKS_PER_WRITE` tasks; give back the
-        others."""
+        rest."""
         places: Counter[str] = Counter()
         for room, n in choices:
             places[room.machine.group] += n
--- a/ashtray/placement/queue_order.py
+++ b/ashtray/placement/queue_order.py
@@ -89,11 +89,11 @@
         """The ids of the jobs that go first until they start, as of the last call of `arrange`."""
         self._guaranteed = False
         """Whether an objective covers jobs within a guarantee: then these go before the rest of their team."""
-        for aim in objectives:
-            self._guaranteed = self._guaranteed or aim.kind == "guarantee"
-            found = {"wait": self._waits, "finished": self._done}.get(aim.kind)
-            if found is not None and aim.job_class and aim.within_s:
-                found.setdefault(aim.job_class, set()).add(int(aim.within_s * SECOND_US))
+        for objective in objectives:
+            self._guaranteed = self._guaranteed or objective.kind == "guarantee"
+            found = {"wait": self._waits, "finished": self._done}.get(objective.kind)
+            if found is not None and objective.job_class and objective.within_s:
+                found.setdefault(objective.job_class, set()).add(int(objective.within_s * SECOND_US))
 
     def standing(self, job: Job, cluster_state: ClusterState, wall_us: int) -> Standing:
         """Return how a job stands if it is placed now; a class without stated times has missed none."""
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -370,7 +370,7 @@
     "bands-across-teams": ["tests/test_order.py"],
     "least-room-never-ages": ["tests/test_order.py"],
     "largest-do-not-begin": [
-        "tests/test_addition.py::test_the_largest_begins_on_one_machine_and_leaves_the_room_to_the_others"
+        "tests/test_addition.py::test_the_largest_job_starts_on_one_machine_and_leaves_the_capacity_to_the_others"
     ],
     "claims-not-guarded": ["tests/test_guarantees.py::test_two_that_decide_at_once_do_not_stop_the_same_excess"],
     "excess-not-counted": ["tests/test_guarantees.py::test_a_team_is_not_taken_below_its_guarantee"],
@@ -417,9 +417,13 @@
     ],
     "tables-grow-for-ever": ["tests/test_record_tables.py"],
     "an-address-in-use-ends-it": ["tests/test_returns.py::test_an_address_that_is_still_in_use_is_waited_for"],
-    "floor-counts-from-nought": ["tests/test_floor.py::test_after_a_start_the_rule_rests_until_there_is_evidence"],
+    "floor-counts-from-nought": [
+        "tests/test_floor.py::test_after_a_start_the_rule_has_no_effect_until_enough_jobs_have_come"
+    ],
     "floor-owes-all": ["tests/test_floor.py"],
-    "floor-is-stopped": ["tests/test_floor.py::test_what_the_floor_placed_is_not_stopped_for_what_is_too_late"],
+    "floor-is-stopped": [
+        "tests/test_floor.py::test_tasks_of_a_class_below_its_share_are_not_stopped_for_jobs_that_are_too_late"
+    ],
     "floor-before-what-is-in-time": ["tests/test_floor.py"],
     "one-known-ends-all": [
         "tests/test_recovery.py::test_a_crowd_shares_transactions_and_one_that_is_known_holds_up_nobody"
@@ -430,7 +434,7 @@
     "adopted-twice": ["tests/test_safety.py::test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group"],
     "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_pages_of_different_moments"],
     "done-tasks-dropped": [
-        "tests/test_placement.py::test_completed_tasks_of_an_array_cost_its_group_only_and_are_not_placed_again"
+        "tests/test_placement.py::test_completed_tasks_of_an_array_write_only_their_group_and_are_not_placed_again"
     ],
     "gang-portions-of-two-attempts": [
         "tests/test_placement.py::test_a_gang_that_needs_more_groups_than_a_transaction_may_change_runs"
@@ -490,18 +494,20 @@
     ],
     "notice-taken-for-nothing-new": ["tests/test_safety.py::test_a_task_saves_before_its_machine_goes"],
     "alone-keeps-its-workers": [
-        "tests/test_addition.py::test_a_controller_alone_with_its_workers_sends_them_on_once_others_tend_them"
+        "tests/test_addition.py::test_a_controller_cut_off_with_its_workers_redirects_them_once_others_serve_them"
+    ],
+    "alone-sends-on-for-ever": [
+        "tests/test_addition.py::test_a_controller_that_only_seems_to_be_cut_off_keeps_its_workers"
     ],
-    "alone-sends-on-for-ever": ["tests/test_addition.py::test_one_that_only_seems_to_be_alone_keeps_its_workers"],
     "alone-is-well": [
-        "tests/test_addition.py::test_a_controller_alone_with_its_workers_sends_them_on_once_others_tend_them"
+        "tests/test_addition.py::test_a_controller_cut_off_with_its_workers_redirects_them_once_others_serve_them"
     ],
     "copy-is-a-report": ["tests/test_addition.py::test_a_copy_of_a_report_proves_nothing"],
     "token-below-the-record": [
-        "tests/test_addition.py::test_a_machine_that_is_back_without_its_token_is_owned_again_after_all_controllers_ended_as_well"
+        "tests/test_addition.py::test_a_machine_restarted_without_its_token_is_owned_again_after_all_controllers_crashed"
     ],
     "deaf-is-heard": [
-        "tests/test_addition.py::test_a_controller_does_not_count_a_machine_as_heard_that_goes_on_without_the_token_it_was_given"
+        "tests/test_addition.py::test_a_machine_that_reports_without_the_token_it_was_given_does_not_count_as_heard"
     ],
     "zone-not-checked": [
         "tests/test_guards.py::test_a_job_of_one_zone_is_not_placed_in_another_by_a_picture_that_has_changed"
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -1,4 +1,4 @@
-"""What the users added to the rules: nothing is forgotten, and the troubles that are new, alone and together."""
+"""Tests of rules that the users added later, such as that no job is forgotten, and of the faults added with them."""
 
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
@@ -77,11 +77,11 @@
     finish(play_anew(seed, jobs, faults, hosts), 150)
 
 
-# A machine whose reports arrive, and that nothing reaches
+# A machine whose reports arrive, but which receives nothing
 
 
 def at_work(seed: int = 3) -> tuple[Model, str]:
-    """A fleet with tasks on it, and a machine that has some."""
+    """Return a model whose fleet runs tasks, and the name of a machine with tasks."""
     model = Model(seed, 3, OperatorSettings(group_size=2))
     model.checks()
     model.run(3)
@@ -93,24 +93,24 @@
 
 @pytest.mark.parametrize("held", [False, True])
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_a_machine_that_reports_and_hears_nothing_is_returned_and_its_tasks_run_elsewhere(seed, held):
+def test_a_machine_that_reports_but_receives_nothing_is_returned_and_its_tasks_run_elsewhere(seed, held):
     model, name = at_work(seed)
     model.deaf[name] = (model.now + 300 * SECOND, held)
     changes = model.state.revision
     model.run(5 * LEASE_S)
-    # It was heard by one controller after the other all the time, and is gone as one that is silent would be.
+    # All the time, one controller after the other heard it; it is still returned like a silent machine.
     assert name not in model.workers
-    # A token for each report would have been a stream of changes.
+    # A new token for each report would have caused a stream of writes.
     assert model.state.revision - changes < 60
     model.run(60)
     assert {job.told for job in model.jobs.values()} == {"done"}
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_a_machine_that_hears_again_within_its_lease_is_kept(seed):
+def test_a_machine_that_receives_again_within_its_lease_is_kept(seed):
     model, _ = at_work(seed)
     deaf_until_us = model.now + int(0.6 * LEASE_S * SECOND)
-    # One that has work for longer than it is deaf: it would be returned otherwise, as an idle one.
+    # Choose a machine that has work for longer than it is deaf: an idle one would be returned.
     busy = [
         name
         for name, worker in sorted(model.workers.items())
@@ -128,7 +128,7 @@
     assert {job.told for job in model.jobs.values()} == {"done"}
 
 
-def test_a_controller_does_not_count_a_machine_as_heard_that_goes_on_without_the_token_it_was_given():
+def test_a_machine_that_reports_without_the_token_it_was_given_does_not_count_as_heard():
     model, name = at_work()
     host = next(host for host in model.hosts if name in host.core.desk.workers)
     desk = host.core.desk
@@ -140,7 +140,7 @@
         model.copy_arrives(name, host.number, worker.report())
         heard.append(desk.workers[name].heard_us)
         model.run(1)
-    # The first time it may be that the token is on its way.
+    # At the first report, the token may still be on its way.
     assert len(set(heard)) == 1
 
 
@@ -151,12 +151,13 @@
     model, _ = at_work()
     model.submit(submission("job-81", shape="service", pieces=9, crew="free", hulls=["small"]))
     model.run(15)
-    # One that is not returned for want of work.
+    # Choose a machine that is not returned as idle.
     name = min(name for name, worker in model.workers.items() if "job-81" in {key[0] for key in worker.tasks})
     model.workers[name].tick += 1
     copy = model.workers[name].report()
     sent = copy["shift"], copy["tick"]
-    # It reports here and there until each has met it after the copy was made: one that has not cannot tell it apart.
+    # The machine reports to changing controllers until each has heard it after the copy was made: a controller that
+    # has not cannot recognize the copy.
     model.roaming_until = model.now + 60 * SECOND
     for _ in range(120):
         model.run(0.5)
@@ -165,7 +166,7 @@
             break
     model.roaming_until = 0
     model.run(3 * REPORT_S)
-    # Its owner, and whoever has sent it there.
+    # At least its owner has heard a report with a token that it issued itself.
     assert any(host.core.desk.workers[name].exact for host in model.hosts)
     for host in model.hosts:
         known = host.core.desk.workers[name]
@@ -173,7 +174,7 @@
         before = known.report, known.heard_us, known.token, dict(known.began), known.newest
         model.copy_arrives(name, host.number, copy)
         assert (known.report, known.heard_us, known.token, dict(known.began), known.newest) == before
-    # Nor is a machine that was deleted since adopted again.
+    # A machine that was deleted since is not adopted again, either.
     model.cloud.end(model.now, name, "deleted")
     model.run(60)
     machines = len(model.hosts[0].core.cluster_state.machines)
@@ -184,7 +185,7 @@
     assert name not in model.hosts[0].core.cluster_state.machines or machines == 0
 
 
-def test_a_machine_that_is_back_at_once_with_its_session_from_the_start_is_used_again():
+def test_a_machine_that_restarts_at_once_is_used_again():
     model, name = at_work()
     model.run(2)
     model.bounce(name, 0.1)
@@ -194,7 +195,7 @@
     assert {job.told for job in model.jobs.values()} == {"done"}
 
 
-def test_the_checker_sees_a_job_that_is_forgotten():
+def test_the_checker_detects_a_forgotten_job():
     model, _ = at_work()
     model.calm()
     for host in model.hosts:
@@ -206,7 +207,7 @@
         model.run(90)
 
 
-# Alone with its workers
+# A controller cut off with its workers
 
 
 def cut_alone(model: Model, number: int, seconds: float) -> None:
@@ -215,7 +216,7 @@
 
 
 def most_heard(model: Model) -> int:
-    """The controller that hears the most workers."""
+    """Return the number of the controller that hears the most workers."""
     since = model.hosts[0].core.kernel.now_us - 2 * SECOND
     hears = [sum(us > since for us in host.core.desk.heard_us().values()) for host in model.hosts]
     return hears.index(max(hears))
@@ -230,7 +231,7 @@
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_a_controller_alone_with_its_workers_sends_them_on_once_others_tend_them(seed):
+def test_a_controller_cut_off_with_its_workers_redirects_them_once_others_serve_them(seed):
     model, name = at_work(seed)
     model.run(2)
     number = most_heard(model)
@@ -241,17 +242,18 @@
     assert all(up(model, n) == 200 for n in range(3) if n != number)
     model.run(3.5)
     now = model.hosts[0].core.kernel.now_us
-    # Without this they would stay for 11 s, and none of their tasks' ends be known.
+    # Otherwise the workers would stay for 11 s, and the ends of their tasks would remain unknown.
     late = [us for us in model.hosts[number].core.desk.heard_us().values() if us > now - SECOND]
     assert not late
-    # No lease was lost by it.
+    # No machine lost its lease.
     assert all(model.workers[name].session == n for name, n in sessions.items() if name in model.workers)
     model.run(60)
     assert {job.told for job in model.jobs.values()} == {"done"}
 
 
-def test_one_that_only_seems_to_be_alone_keeps_its_workers():
-    # The state service is out and all others have ended: sent on in vain, they come back, and their leases last.
+def test_a_controller_that_only_seems_to_be_cut_off_keeps_its_workers():
+    # The state service is down and all other controllers have crashed: workers that were sent on find no other
+    # controller, come back, and their leases last.
     model, name = at_work(3)
     model.submit(submission("job-80", shape="service", pieces=9, crew="free", hulls=["small"]))
     model.run(8)
@@ -260,22 +262,23 @@
     model.state.down = True
     for number in {0, 1, 2} - {left}:
         model.crash(number, 60)
-    # It renews for 11 s after its last read, later nobody may. Last renewed at 7 s, the leases would be over by now.
+    # The controller renews leases for up to 11 s after its last read, and then stops.  Leases that were last renewed
+    # at 7 s would have expired by now.
     model.run(16.5)
     assert sessions and {name: model.workers[name].session for name in sessions} == sessions
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_a_machine_that_is_back_without_its_token_is_owned_again_after_all_controllers_ended_as_well(seed):
-    # Found by generated runs: the record kept a token that no controller came near any more, so nobody owned the
-    # machine, and the gang whose two tasks it had held waited for ever.
+def test_a_machine_restarted_without_its_token_is_owned_again_after_all_controllers_crashed(seed):
+    # Otherwise the record keeps a token higher than any that controllers issue, so no controller owns the machine,
+    # and the gang whose two tasks it ran waits forever.
     model = Model(seed, 3, OperatorSettings(group_size=2))
     model.checks()
     for host in model.hosts:
-        # As after many hand-overs.
+        # The counter as it is after many handovers.
         host.core.desk._counter = 50
     model.run(3)
-    # One machine, so that no other report tells the controllers of high tokens.
+    # Only one machine, so that no other report tells the controllers about high tokens.
     model.submit(submission("job-0", shape="gang", pieces=2, cpus=2.0, crew="free", hulls=["small"], expect_s=6.0))
     while not any(worker.tasks and worker.token >> 40 > 50 for worker in model.workers.values()):
         model.run(0.2)
@@ -287,24 +290,24 @@
     assert {job.told for job in model.jobs.values()} == {"done"}
 
 
-# The largest jobs
+# The start of the largest jobs
 
 
-def test_the_largest_begins_on_one_machine_and_leaves_the_room_to_the_others(monkeypatch):
+def test_the_largest_job_starts_on_one_machine_and_leaves_the_capacity_to_the_others(monkeypatch):
     monkeypatch.setattr(queue_order, "START_WITHIN_US", 8 * SECOND)
     model = Model(5, 3)
     model.checks()
     for host in model.hosts:
-        # Where the settings state a time for some class; for none of these.
+        # As if the settings stated times for some classes, but for none of these jobs.
         host.core.placer.pace._all_timed = False
     model.run(3)
-    # What is left of the fleet of twelve machines are two places.
+    # The fleet of twelve machines keeps capacity for only two more tasks.
     model.submit(submission("job-0", shape="service", pieces=22, crew="free", hulls=["small"], urgency="urgent"))
     model.run(25)
     idle = {"crew": "free", "hulls": ["small"], "urgency": "idle", "expect_s": 20.0}
     cluster_state = model.hosts[0].core.cluster_state
     for n in range(2, 60):
-        # The third finds no room any more.
+        # The third job finds no free capacity.
         job = submission(f"job-{n if n != 5 else 1}", pieces=1 if n != 5 else 40, **idle)
         model.at((n - 2) * SECOND, lambda job=job: model.submit(job))
     for _ in range(300):
@@ -312,11 +315,11 @@
         if cluster_state.placed("job-1"):
             break
     assert len({name for name, _ in cluster_state.allocations["job-1"]}) == 1
-    # Smaller ones, which go first by what they need, wait still.
+    # Smaller jobs, which go first by remaining work, still wait.
     assert set(cluster_state.waiting()) - {"job-1"}
 
 
-# Controllers that are slow
+# Slow controllers
 
 
 def slow(model: Model, numbers: tuple[int, ...], ms: int) -> None:
@@ -324,8 +327,8 @@
         model.hosts[number].slow_us = ms * 1000
 
 
-def stand_still(model: Model, number: int, times: int) -> None:
-    """It stands still for 3 s every 10 s."""
+def stall(model: Model, number: int, times: int) -> None:
+    """Stall a controller's process for 3 s, `times` times, once every 10 s."""
     for n in range(times):
         model.at(n * 10 * SECOND, lambda: setattr(model.hosts[number], "halts_us", 3 * SECOND))
 
@@ -337,7 +340,7 @@
         lambda model: slow(model, (0,), 60),
         lambda model: slow(model, (0, 1, 2), 15),
         lambda model: slow(model, (0, 1, 2), 130),
-        lambda model: stand_still(model, 1, 6),
+        lambda model: stall(model, 1, 6),
     ],
     ids=["one at a fraction of its speed", "all slower", "all far too slow", "one stands still for 3 s every 10 s"],
 )
@@ -350,7 +353,7 @@
         model.submit(submission(f"job-{n}", pieces=3, crew="free", hulls=["small"]))
         model.run(2)
     assert all(model.workers[name].session == session for name, session in sessions.items() if name in model.workers)
-    # No storm: duties that go to and fro would write far more than the jobs need.
+    # Duties that move to and fro between controllers would write far more than the jobs need.
     assert model.state.revision - before < 30 * 12
     slow(model, (0, 1, 2), 0)
     model.calm()
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -1,4 +1,4 @@
-"""The order of the queue under overload."""
+"""Tests of the queue order under overload."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 
-AIMS = [
+OBJECTIVES = [
     Objective("wait", "pages", 30.0, 0.65),
     Objective("wait", "pages", 150.0, 0.995),
     Objective("finished", "pages", 200.0, 0.9),
@@ -34,7 +34,7 @@
 
 
 def cluster_state_of(jobs: list[tuple[str, float, int, str]]) -> ClusterState:
-    """Jobs by class, age in seconds, priority and team; they run for some 20 s."""
+    """Return a cluster state with gangs by class, age in seconds, priority and team; they run for about 20 s."""
     cluster_state = ClusterState()
     for n, (name, age_s, priority, team) in enumerate(jobs):
         spec = JobSpec(name, team, "gang", priority, 3, 1.0, 0.0, 1.0, "img", 0.0, estimate_us=20 * SECOND_US)
@@ -43,23 +43,23 @@
     return cluster_state
 
 
-def order(jobs: list[tuple[str, float, int, str]], aims: list[Objective] = AIMS) -> list[int]:
-    times = StatedTimes(aims, Pace(aims, 6.0))
+def order(jobs: list[tuple[str, float, int, str]], objectives: list[Objective] = OBJECTIVES) -> list[int]:
+    times = StatedTimes(objectives, Pace(objectives, 6.0))
     found, _ = queue(cluster_state_of(jobs), {}, times, NOW_US)
     return [int(job.id.removeprefix("job-")) for job in found]
 
 
-def test_what_can_still_make_its_time_goes_first():
+def test_jobs_that_can_still_meet_their_time_go_first():
     ages = [160.0, 140.0, 100.0, 40.0, 20.0, 5.0]
     assert order([("pages", age, 1, "studio") for age in ages]) == [4, 5, 1, 2, 3, 0]
 
 
-def test_nothing_starves():
+def test_no_job_starves():
     ages = [200.0 * AGED_FACTOR + 1, 160.0, 20.0]
     assert order([("pages", age, 1, "studio") for age in ages]) == [0, 2, 1]
 
 
-def test_teams_and_priorities_keep_their_turns():
+def test_teams_and_priorities_keep_their_positions():
     jobs = [
         ("pages", 50.0, 1, "studio"),
         ("other", 45.0, 1, "reader"),
@@ -70,17 +70,17 @@
     assert order(jobs) == [3, 2, 1, 0, 4]
 
 
-def test_a_time_that_it_could_never_make_is_not_missed():
-    # Found in a recorded day (inc-5d39): it went behind everything that came later.
+def test_a_time_that_a_job_could_never_meet_is_not_missed():
+    # Otherwise a gang that runs longer than its class allows goes behind all jobs that come later (inc-5d39).
     cluster_state = cluster_state_of([("pages", 20.0, 1, "studio"), ("pages", 10.0, 1, "studio")])
     long = cluster_state.jobs["job-0"]
     long.spec.estimate_us = 300 * SECOND_US
-    times = StatedTimes(AIMS, Pace(AIMS, 6.0))
+    times = StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0))
     assert times.standing(long, cluster_state, NOW_US).missed == 0
     assert [job.id for job in queue(cluster_state, {}, times, NOW_US)[0]] == ["job-0", "job-1"]
 
 
-def test_classes_without_stated_times_keep_their_turns():
+def test_jobs_without_stated_times_keep_their_positions():
     jobs = [
         ("other", 300.0, 1, "studio"),
         ("pages", 90.0, 1, "studio"),
@@ -92,7 +92,7 @@
 
 
 def panels(sizes: list[int], ages: list[float], runs_s: list[float] | None = None) -> ClusterState:
-    """Arrays of a class without stated times, of so many tasks each."""
+    """Return a cluster state with arrays of a class without stated times, of the given numbers of tasks."""
     cluster_state = ClusterState()
     for n, (tasks, age_s) in enumerate(zip(sizes, ages, strict=True)):
         run_us = int((runs_s[n] if runs_s else 20.0) * SECOND_US)
@@ -103,75 +103,75 @@
 
 
 def served(cluster_state: ClusterState) -> list[int]:
-    found, _ = queue(cluster_state, {}, StatedTimes(AIMS, Pace(AIMS, 6.0)), NOW_US)
+    found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0)), NOW_US)
     return [int(job.id.removeprefix("job-")) for job in found]
 
 
-def test_where_no_time_is_stated_the_least_room_left_goes_first():
+def test_without_stated_times_the_least_remaining_work_goes_first():
     assert served(panels([90, 30, 3, 60], [40.0, 30.0, 2.0, 50.0])) == [2, 1, 3, 0]
-    # Thirty tasks of 10 s are less than ten of 60 s.
+    # Thirty tasks of 10 s are less work than ten of 60 s.
     assert served(panels([10, 30], [5.0, 5.0], [60.0, 10.0])) == [1, 0]
 
 
-def test_what_is_begun_is_ended_first():
+def test_started_jobs_are_completed_first():
     cluster_state = panels([40, 30], [5.0, 9.0])
-    holds = [AllocationRecord("job-0", 1, "0-14", "reader", 10.0, 1.0, 36.0, NOW_US)]
-    group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
+    allocations = [AllocationRecord("job-0", 1, "0-14", "reader", 10.0, 1.0, 36.0, NOW_US)]
+    group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=allocations)})
     cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
     assert served(cluster_state) == [0, 1]
 
 
-def test_the_largest_array_does_not_wait_for_ever():
-    # It has waited twenty times as long as a task of it runs, and the run's start.
+def test_the_largest_array_does_not_wait_forever():
+    # The array has waited 20 times as long as one of its tasks takes: the 20 s of its run and 6 s to start.
     cluster_state = panels([150, 3, 2], [UNTIMED_AGED_FACTOR * 26.0, 4.0, 9.0])
-    holds = [AllocationRecord("job-0", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
-    group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
+    allocations = [AllocationRecord("job-0", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
+    group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=allocations)})
     cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
     assert served(cluster_state) == [0, 2, 1]
 
 
-def test_what_has_not_begun_after_most_of_the_four_minutes_goes_first_until_it_has():
+def test_jobs_not_started_after_most_of_four_minutes_go_first_until_they_start():
     late_s = START_FIRST_SHARE * START_WITHIN_US / SECOND_US
     cluster_state = panels([150, 3, 120, 2], [late_s + 9, 4.0, late_s + 30, late_s - 1])
     assert served(cluster_state) == [2, 0, 3, 1]
-    holds = [AllocationRecord("job-2", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
-    group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=holds)})
+    allocations = [AllocationRecord("job-2", 1, "7", "reader", 10.0, 1.0, 36.0, NOW_US)]
+    group = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x", holds=allocations)})
     cluster_state.put(f"{GROUP}1", msgspec.to_builtins(group), 9)
     assert served(cluster_state) == [0, 3, 1, 2]
-    # What it has done is a beginning as well.
+    # A completed task counts as a start, too.
     done = GroupRecord("foundry", "z", {"vm-1": MachineRecord("x")}, {"job-2": "7"})
     cluster_state.put(f"{GROUP}1", msgspec.to_builtins(done), 10)
     assert served(cluster_state) == [0, 3, 1, 2]
 
 
-def test_a_deadline_or_an_aim_keeps_its_turn_by_age():
+def test_jobs_with_a_deadline_or_an_objective_keep_their_positions_by_age():
     jobs = [("pages", 3.0, 1, "studio"), ("other", 9.0, 1, "studio"), ("other", 5.0, 1, "studio")]
     cluster_state = cluster_state_of(jobs)
     cluster_state.jobs["job-1"].spec.tasks = 50
     cluster_state.jobs["job-1"].latest_us = NOW_US + 30 * SECOND_US
     cluster_state.jobs["job-2"].spec.tasks = 2
-    found, _ = queue(cluster_state, {}, StatedTimes(AIMS, Pace(AIMS, 6.0)), NOW_US)
+    found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-1", "job-2", "job-0"]
 
 
-def test_an_array_with_an_aim_on_being_done_alone_keeps_its_turn_too():
-    # It has missed nothing that it could be put back for, and must not go before all that have.
-    aims = [*AIMS, Objective("finished", "models", 180.0, 0.95)]
+def test_an_array_with_only_a_completion_objective_keeps_its_position():
+    # It has missed no time that counts for an array, and must not go before all jobs that have missed one.
+    objectives = [*OBJECTIVES, Objective("finished", "models", 180.0, 0.95)]
     cluster_state = cluster_state_of(
         [("pages", 90.0, 1, "studio"), ("models", 50.0, 1, "studio"), ("pages", 40.0, 1, "studio")]
     )
     cluster_state.jobs["job-1"].spec.kind = "array"
-    found, _ = queue(cluster_state, {}, StatedTimes(aims, Pace(aims, 6.0)), NOW_US)
+    found, _ = queue(cluster_state, {}, StatedTimes(objectives, Pace(objectives, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-0", "job-1", "job-2"]
 
 
-def test_a_stage_whose_end_can_still_be_in_time_is_not_put_back():
+def test_a_stage_whose_pipeline_can_still_end_in_time_is_not_put_back():
     cluster_state = cluster_state_of(
         [("pages", 100.0, 1, "studio"), ("pages", 20.0, 1, "studio"), ("pages", 90.0, 1, "studio")]
     )
     cluster_state.jobs["job-0"].latest_us = NOW_US + SECOND_US
     cluster_state.jobs["job-2"].latest_us = NOW_US - SECOND_US
-    times = StatedTimes(AIMS, Pace(AIMS, 6.0))
+    times = StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0))
     assert [times.standing(cluster_state.jobs[f"job-{n}"], cluster_state, NOW_US).band for n in (0, 1, 2)] == [
         0,
         0,
@@ -193,7 +193,9 @@
 
 
 @pytest.mark.parametrize(("age_s", "missed", "aged"), [(20.0, 0, False), (40.0, 1, False), (410.0, 3, True)])
-def test_how_a_job_stands(age_s: float, missed: int, aged: bool):
+def test_standing_of_a_job(age_s: float, missed: int, aged: bool):
     cluster_state = cluster_state_of([("pages", age_s, 1, "studio")])
-    standing = StatedTimes(AIMS, Pace(AIMS, 6.0)).standing(cluster_state.jobs["job-0"], cluster_state, NOW_US)
+    standing = StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0)).standing(
+        cluster_state.jobs["job-0"], cluster_state, NOW_US
+    )
     assert (standing.missed, standing.stated, standing.aged) == (missed, 3, aged)
