--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -1,4 +1,8 @@
-"""The placer assigns machines to the waiting jobs of this controller, in one conditional transaction per batch."""
+"""The placer assigns machines to the waiting jobs of this controller, in one conditional transaction per batch.
+
+A fold is the transaction that writes what workers' reports said into group records.  A placement also writes those
+pending reports about its groups that change nothing but the groups' records.
+"""
 
 from __future__ import annotations
 
@@ -92,8 +96,8 @@
         self._seen_changes = -1
         self._partial_us: dict[str, int] = {}
         self._urgent_since_us: dict[str, int] = {}
-        """Since when, in microseconds, the plans have found free capacity for urgent jobs of other controllers, by
-        job id."""
+        """By job id, since when, in microseconds, plans have found free capacity for urgent jobs of other
+        controllers."""
         self.counts: Counter[str] = Counter()
         """Counters of the work done since they were last logged."""
         self._round_requested = False
@@ -108,8 +112,7 @@
         self._queue: list[Job] = []
         """The queue as of the last round."""
         self._reshared: dict[str, tuple[int, int]] = {}
-        """By team, when this controller last tried to change the shares, and how long to wait before the next
-        change."""
+        """By team, when this controller last tried to change the shares, and how long to wait for the next try."""
         self._own_shares: dict[str, Share] = {}
         """This controller's share of each team's limit when `_yields_share` last checked it."""
 
@@ -277,7 +280,7 @@
                         continue
                 self._partial_us[job.id] = base.kernel.now_us
             if self.grants.limited(job.spec.team):
-                choices = self._within_share(plan, job, choices, batch, turn)
+                choices = self._cut_to_share(plan, job, choices, batch, turn)
                 if not choices:
                     continue
             for item in split_placement(job, tasks, choices, base.cluster_state, base.limits):
@@ -340,9 +343,8 @@
             self._note_short(ShortJob(job, count, turn))
         return False
 
-    def _within_share(self, plan: Plan, job: Job, choices: list[Choice], batch: Batch, turn: int) -> list[Choice]:
-        """Return the choices within this controller's share of the team's limit; if some are not, note that it needs
-        more."""
+    def _cut_to_share(self, plan: Plan, job: Job, choices: list[Choice], batch: Batch, turn: int) -> list[Choice]:
+        """Cut the choices to this controller's share of the team's limit, and note if it needs a larger one."""
         count = sum(n for _, n in choices)
         allowed = self._allowed(job, batch)
         if allowed >= count:
@@ -507,7 +509,7 @@
         return None
 
     def _draft(self, batch: Batch, lines: list[str], full: set[str]) -> Txn | str | None:
-        """Build the transaction without the groups in `full`; return the key of a group whose record would grow too
+        """Build the transaction without the groups in `full`; return the key of a group whose record would get too
         large."""
         base = self.base
         cluster_state = base.cluster_state
@@ -519,7 +521,7 @@
             job = cluster_state.jobs.get(item.job_id)
             if job is None or full & item.groups() or not draft.allows(job, item):
                 continue
-            # The limits may have fallen since this was planned.
+            # The transaction limits may have been lowered since the batch was planned.
             if len(lines) + 1 + len(draft.edits.keys() | item.groups()) > base.limits.ops:
                 continue
             number = attempt_of(job)
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -26,7 +26,8 @@
 FULL_SHARE = 0.8
 """Nothing more is placed in a group whose record takes up this part of a value's maximum size."""
 ALLOCATION_BYTES, COMPACT_ALLOCATION_BYTES = 75, 45
-"""Estimated bytes of an allocation in a group record, in full form (without job and team) and in compact form."""
+"""Estimated bytes of an allocation in a group record: in full form, without the names of job and team, and in compact
+form."""
 IMAGE_ENTRY_BYTES = 12
 """Estimated bytes of a cached image in a group record, without its name."""
 USUAL_RUNS = 4
@@ -44,7 +45,7 @@
     teams: dict[str, Team],
     times: StatedTimes | None = None,
     wall_us: int = 0,
-    floor: MinimumShare | None = None,
+    minimum_share: MinimumShare | None = None,
 ) -> tuple[list[Job], set[str]]:
     """Return the jobs with waiting tasks in queue order: by priority, guarantee, then deadline or age.
 
@@ -74,7 +75,7 @@
     if times is None:
         return jobs, guaranteed
     jobs, too_late = times.arrange(jobs, guaranteed, cluster_state, wall_us)
-    return jobs if floor is None else floor.move_up(jobs, too_late, wall_us), guaranteed
+    return jobs if minimum_share is None else minimum_share.move_up(jobs, too_late, wall_us), guaranteed
 
 
 def back_off_us(job: Job) -> int:
@@ -100,10 +101,10 @@
 class Planner:
     """Creates queues and plans from the current cluster state."""
 
-    def __init__(self, base: Base, times: StatedTimes, floor: MinimumShare) -> None:
+    def __init__(self, base: Base, times: StatedTimes, minimum_share: MinimumShare) -> None:
         self._base = base
         self.times = times
-        self.floor = floor
+        self.floor = minimum_share
 
     def plan(self) -> Plan:
         """Return a new plan of the current cluster state."""
@@ -159,7 +160,7 @@
         self.freed: list[Room] = []
         """Capacity that reports have freed, but no commit has yet: only this controller knows of it."""
         self.min_without_victims: dict[Demand, int] = {}
-        """By kind of job, the smallest number of tasks for which stopping others frees no capacity, or not enough."""
+        """By kind of job, the smallest number of tasks for which stopping others does not free enough capacity."""
         self.writes_scarce = False
         """Whether writes to the state service are scarce."""
         self.due_groups: set[str] = set()
@@ -169,8 +170,10 @@
         self.on_demand = [room for room in self.rooms if not room.machine.record.spot]
         self.usage = {name: cluster_state.team_usage(name) for name in teams}
         self.scarcity = self._scarcity()
-        waits = (cluster_state.jobs[job_id] for job_id in cluster_state.waiting())
-        self.gpu_wait_priority = min((job.priority for job in waits if job.spec.gpus > 0), default=len(PRIORITIES))
+        waiting_jobs = (cluster_state.jobs[job_id] for job_id in cluster_state.waiting())
+        self.gpu_wait_priority = min(
+            (job.priority for job in waiting_jobs if job.spec.gpus > 0), default=len(PRIORITIES)
+        )
         """The most urgent priority among the jobs with tasks that wait for GPUs."""
         self._max_placeable: dict[Demand, int] = {}
         """For demands that could not be met in full, the number of tasks that fit at most.  Capacity only shrinks."""
@@ -246,8 +249,7 @@
         return ask
 
     def _must_leave_cpus(self, job: Job) -> bool:
-        """Return whether a job must leave enough CPUs for free GPUs, because tasks at least as urgent wait for
-        GPUs."""
+        """Return whether a job must leave CPUs for free GPUs, because tasks at least as urgent wait for GPUs."""
         return job.spec.gpus == 0 and self.gpu_wait_priority <= job.priority
 
     def zones(self) -> list[str]:
@@ -332,8 +334,11 @@
             extra = self._stopping_capacity.get(room.machine.name)
             if extra is not None:
                 c, g, m = extra
-                now, room = room, replace(room, cpus=room.cpus + c, gpus=room.gpus + g, memory_gb=room.memory_gb + m)
-                originals[id(room)] = now
+                original, room = (
+                    room,
+                    replace(room, cpus=room.cpus + c, gpus=room.gpus + g, memory_gb=room.memory_gb + m),
+                )
+                originals[id(room)] = original
             rooms.append(room)
         ask = self.ask(job)
         ask.image_within_s = image_within_s
@@ -364,10 +369,10 @@
     def _choose(
         self, ask: Ask, count: int, pick_chance: float, among: list[Room] | None = None, freed: Sequence[Room] = ()
     ) -> list[Choice]:
-        """Return the best machines, or with probability `pick_chance` a random one of the best few, for up to `count`
-        tasks.
+        """Choose machines for up to `count` tasks: the best ones, or sometimes a random one of the best few.
 
-        Placing one of a job's tasks does not change how the remaining machines rank, so they are ranked once.
+        `pick_chance` is the probability of a random choice.  Placing one of a job's tasks does not change how the
+        remaining machines rank, so they are ranked once.
         """
         spec = ask.spec
         zone_room = dict(ask.zone_room) if ask.zone_room is not None else None
@@ -444,8 +449,7 @@
         )
 
     def take(self, job: Job, choices: Iterable[Choice]) -> None:
-        """Subtract a job's chosen tasks from the free capacity of their machines and count them against its team's
-        limit."""
+        """Take the chosen capacity from the machines and count the tasks against the team's limit."""
         base = self._base_bytes(job)
         for room, n in choices:
             room.take(job.spec, n)
--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -79,8 +79,7 @@
     due_groups: set[str] = field(default_factory=set)
     """Groups whose records are written anyway."""
     extra_writes: dict[str, int] = field(default_factory=dict)
-    """For each group, how many more records would have to be written if all groups were like it; 0 for
-    `due_groups`."""
+    """By group, how many records would have to be written if all groups were like it; 0 for `due_groups`."""
 
     def zone_allows(self, zone: str) -> int:
         """Return how many more of the job's tasks a zone may take."""
@@ -194,7 +193,7 @@
     rule.name: rule
     for rule in (
         Preference("trust", "tasks failed there lately", _trust),
-        Preference("changes", "more records would have to be written, and changes are scarce", _scarce_writes),
+        Preference("changes", "more records would have to be written, and writes are scarce", _scarce_writes),
         Preference("image", "it would have to fetch the image", _image),
         Preference("scarce", "its GPUs are kept for jobs that need them", _spare_gpu_machines),
         Preference("spot", "cheap machines are for the jobs that may use them", _spot),
