--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -24,14 +24,14 @@
 NEW_MACHINE_BYTES = 120
 FULL_SHARE = 0.6
 """A group that takes this part of a value gets no more machines."""
-FULL_BYTES, LEAN_BYTES = (450, 110), (70, 28)
+FULL_FORM_BYTES, COMPACT_FORM_BYTES = (450, 110), (70, 28)
 """What a machine and a hold take of a record, with images and completed tasks: in full and in lean form."""
-SIGNED_BYTES = 60
+TOKEN_UPDATE_BYTES = 60
 """What a new token, an address and a flag may add to a machine's part."""
-CPUS_PER_HOLD = 16
-MAX_FAILED = 6
+CPUS_PER_ALLOCATION = 16
+MAX_REMEMBERED_FAILURES = 6
 """So many jobs that failed on a machine, and machines that a job failed on, are remembered."""
-MOST_MACHINES = 32
+MAX_GROUP_MACHINES = 32
 """In a group, however much a value holds: all controllers write the same records, each change of one is read by all
 of them, and all its workers report to one.  Tried on simulated days of 830 machines: 48 and 120 spared changes, but
 reading a record of 48 takes 1.0 ms of processor time, and with 120 conflicts took what was spared.
@@ -53,7 +53,7 @@
     successes: int = 0
     ends: bool = False
     """The job is to be ended now, with all of its tasks known to be done."""
-    spilt: bool = False
+    spilled: bool = False
     """What completed is written into the job's own record, not into the group's."""
 
     def add(self, other: JobFold) -> None:
@@ -63,7 +63,7 @@
         self.errors += other.errors
         self.failed_on |= other.failed_on
         self.successes += other.successes
-        self.spilt = self.spilt or other.spilt
+        self.spilled = self.spilled or other.spilled
         self.ends = self.ends or other.ends
 
 
@@ -85,8 +85,8 @@
 
     report: Report
     token: int
-    exact: bool
-    leaves_us: int | None = None
+    proves_absence: bool
+    time_left_us: int | None = None
     """The time until the cloud takes the machine away, if it has said so."""
 
 
@@ -96,7 +96,7 @@
     record: MachineRecord,
     evidence: Evidence,
     folds: dict[str, JobFold],
-    later: Container[str] = (),
+    deferred_jobs: Container[str] = (),
 ) -> bool:
     """Apply a report to a copy of a machine's record, but for some jobs; says whether anything changed."""
     if record.token > evidence.token:
@@ -105,7 +105,7 @@
         return False
     changed = False
     report = evidence.report
-    if evidence.exact and record.token < evidence.token:
+    if evidence.proves_absence and record.token < evidence.token:
         record.token = evidence.token
         record.address = report.address
         changed = True
@@ -113,63 +113,63 @@
         record.retiring = True
         changed = True
     # While orders are on their way, absence is no evidence, and the token is not written either.
-    sure = evidence.exact and record.token == evidence.token
+    absence_is_proof = evidence.proves_absence and record.token == evidence.token
     kept = []
-    for hold, known in zip(record.holds, machine.holds, strict=True):
-        if hold.job in later:
-            kept.append(hold)
+    for allocation, current in zip(record.holds, machine.holds, strict=True):
+        if allocation.job in deferred_jobs:
+            kept.append(allocation)
             continue
-        tasks = known.tasks
-        dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.stop_us)
-        left = set()
+        tasks = current.tasks
+        dead = allocation_is_dead(cluster_state, allocation.job, allocation.attempt, allocation.stop_us)
+        remaining = set()
         for task in tasks:
-            seen: TaskState | None = report.tasks.get((hold.job, hold.attempt, task))
+            seen: TaskState | None = report.tasks.get((allocation.job, allocation.attempt, task))
             if seen is not None and seen.state == "ended":
-                note_end(cluster_state, machine.name, record, hold, task, seen.cause, folds)
-            elif seen is None and dead and sure:
-                note_end(cluster_state, machine.name, record, hold, task, "absent", folds)
+                record_task_end(cluster_state, machine.name, record, allocation, task, seen.cause, folds)
+            elif seen is None and dead and absence_is_proof:
+                record_task_end(cluster_state, machine.name, record, allocation, task, "absent", folds)
             else:
-                left.add(task)
-        if len(left) < len(tasks):
+                remaining.add(task)
+        if len(remaining) < len(tasks):
             changed = True
-            hold.tasks = encode_runs(left)
-        if left:
-            job = cluster_state.jobs.get(hold.job)
-            if job is not None and saves_now(job, hold.stop_us, evidence.leaves_us):
-                hold.stop_us = job.spec.save_us
+            allocation.tasks = encode_runs(remaining)
+        if remaining:
+            job = cluster_state.jobs.get(allocation.job)
+            if job is not None and must_save_now(job, allocation.stop_us, evidence.time_left_us):
+                allocation.stop_us = job.spec.save_us
                 changed = True
-            kept.append(hold)
+            kept.append(allocation)
     record.holds = kept
     return changed
 
 
-def saves_now(job: Job, stop_us: int, leaves_us: int | None) -> bool:
+def must_save_now(job: Job, stop_us: int, time_left_us: int | None) -> bool:
     """Whether tasks are to save now because their machine goes: as late as it can be told, saved and reported.
 
     A gang is stopped as a whole, which one machine's owner cannot do: the fleet's runner sees to it.
     """
     spec = job.spec
-    if leaves_us is None or stop_us >= 0 or not spec.checkpoint_us or spec.kind == "gang":
+    if time_left_us is None or stop_us >= 0 or not spec.checkpoint_us or spec.kind == "gang":
         return False
-    return spec.save_us <= leaves_us <= spec.save_us + SAVE_LEAD_US
+    return spec.save_us <= time_left_us <= spec.save_us + SAVE_LEAD_US
 
 
-def note_end(
+def record_task_end(
     cluster_state: ClusterState,
     name: str,
     record: MachineRecord,
-    hold: AllocationRecord,
+    allocation: AllocationRecord,
     task: int,
     cause: str | None,
     folds: dict[str, JobFold],
 ) -> None:
     """Account for one task that has left its machine."""
-    job_id, attempt = hold.job, hold.attempt
+    job_id, attempt = allocation.job, allocation.attempt
     job = cluster_state.jobs.get(job_id)
     if cause == "done":
         record.failed = []
     elif cause == "error" and job_id not in record.failed:
-        record.failed = [*record.failed, job_id][-MAX_FAILED:]
+        record.failed = [*record.failed, job_id][-MAX_REMEMBERED_FAILURES:]
     if job is None:
         return
     fold = folds.setdefault(job_id, JobFold())
@@ -195,7 +195,7 @@
 
 def put_job(kernel: Kernel, cluster_state: ClusterState, txn: Txn, job: Job, fold: JobFold) -> bool:
     """Add a job's change to a transaction; says whether the job is done with it."""
-    if ends_with(cluster_state, job, fold):
+    if completes_job(cluster_state, job, fold):
         end_job(txn, job, "done", job.spec.tasks, kernel.wall_us)
         return True
     txn.guard(LIVE + job.id, job.version)
@@ -205,11 +205,11 @@
     elif fold.errors:
         errors += 1
         failed_on = [name for name in failed_on if name not in fold.failed_on]
-        failed_on = [*failed_on, *sorted(fold.failed_on)][-MAX_FAILED:]
+        failed_on = [*failed_on, *sorted(fold.failed_on)][-MAX_REMEMBERED_FAILURES:]
     txn.put(
         LIVE + job.id,
         job.value(
-            finished=job.finished | fold.finished if fold.spilt else None,
+            finished=job.finished | fold.finished if fold.spilled else None,
             broken=max(job.record.broken, fold.broken),
             errors=errors,
             error_us=kernel.wall_us if fold.errors else job.record.error_us,
@@ -219,7 +219,7 @@
     return False
 
 
-def ends_with(cluster_state: ClusterState, job: Job, fold: JobFold) -> bool:
+def completes_job(cluster_state: ClusterState, job: Job, fold: JobFold) -> bool:
     """Whether all tasks of a job are done.
 
     Tasks once done stay done, so a late cluster state can only make a job end later.
@@ -254,7 +254,7 @@
         self.limits = limits
         self.jobs: dict[str, JobFold] = {}
         self.lines: list[str] = []
-        self.idle: set[str] = set()
+        self.unchanged: set[str] = set()
         """Machines whose reports say nothing that their records do not."""
         self.taken: set[str] = set()
         self.freed: dict[str, tuple[float, float, float]] = {}
@@ -267,23 +267,23 @@
     def add(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
         """Fold the reports of some of a group's machines, as far as there is room for the changes."""
         edit = GroupEdit(group)
-        for name, machine, known in self._reported(group, names, evidence):
-            for full in (False, True):
+        for name, machine, machine_evidence in self._with_reports(group, names, evidence):
+            for force_spill in (False, True):
                 # Where what completed would make the record too large, it goes into the jobs' own.
-                spills = full or self._full(group)
+                spills = force_spill or self._nearly_full(group)
                 record = edit.copy_of(name)
-                trial: dict[str, JobFold] = {}
-                if not fold_machine(self.cluster_state, machine, record, known, trial):
-                    self.idle.add(name)
+                job_folds: dict[str, JobFold] = {}
+                if not fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds):
+                    self.unchanged.add(name)
                     break
                 # A job that ends may cost two changes: more than a transaction takes are folded in turns.
-                costly = [job_id for job_id, fold in trial.items() if self._ops_of(job_id, fold, edit, spills)]
-                later = set(costly[max((self.limits.ops - 1) // 2, 1) :])
-                if later:
-                    record, trial = edit.copy_of(name), {}
-                    fold_machine(self.cluster_state, machine, record, known, trial, later)
-                ops = sum(self._ops_of(j, fold, edit, spills) for j, fold in trial.items())
-                after = self._size_after(edit, machine, record, trial)
+                costly = [job_id for job_id, fold in job_folds.items() if self._extra_ops(job_id, fold, edit, spills)]
+                deferred = set(costly[max((self.limits.ops - 1) // 2, 1) :])
+                if deferred:
+                    record, job_folds = edit.copy_of(name), {}
+                    fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds, deferred)
+                ops = sum(self._extra_ops(j, fold, edit, spills) for j, fold in job_folds.items())
+                after = self._size_after(edit, machine, record, job_folds)
                 if not self.limits.takes(after, len(group.machines) == 1 and after < group.size):
                     continue
                 ops += group.key not in self.edits
@@ -292,66 +292,73 @@
                     break
                 self._ops += ops
                 self._bytes += size
-                self._keep(edit, name, record, trial, after)
+                self._include(edit, name, record, job_folds, after)
                 break
 
     def add_light(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
         """Fold those reports that change their group's record only."""
         edit = GroupEdit(group)
-        for name, machine, known in self._reported(group, names, evidence):
+        for name, machine, machine_evidence in self._with_reports(group, names, evidence):
             record = edit.copy_of(name)
-            trial: dict[str, JobFold] = {}
-            if not fold_machine(self.cluster_state, machine, record, known, trial):
+            job_folds: dict[str, JobFold] = {}
+            if not fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds):
                 continue
-            if any(self._ops_of(job_id, fold, edit, self._full(group)) for job_id, fold in trial.items()):
+            if any(
+                self._extra_ops(job_id, fold, edit, self._nearly_full(group)) for job_id, fold in job_folds.items()
+            ):
                 continue
-            after = self._size_after(edit, machine, record, trial)
+            after = self._size_after(edit, machine, record, job_folds)
             if not self.limits.takes(after):
                 continue
-            self._keep(edit, name, record, trial, after)
-            kept = [len(decode_runs(hold.tasks)) for hold in record.holds]
+            self._include(edit, name, record, job_folds, after)
+            kept = [len(decode_runs(allocation.tasks)) for allocation in record.holds]
             self.freed[name] = (
-                machine.cpus - sum(n * hold.cpus for n, hold in zip(kept, record.holds, strict=True)),
-                machine.gpus - sum(n * hold.gpus for n, hold in zip(kept, record.holds, strict=True)),
-                machine.memory_gb - sum(n * hold.memory_gb for n, hold in zip(kept, record.holds, strict=True)),
+                machine.cpus - sum(n * allocation.cpus for n, allocation in zip(kept, record.holds, strict=True)),
+                machine.gpus - sum(n * allocation.gpus for n, allocation in zip(kept, record.holds, strict=True)),
+                machine.memory_gb
+                - sum(n * allocation.memory_gb for n, allocation in zip(kept, record.holds, strict=True)),
             )
 
-    def _reported(
+    def _with_reports(
         self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]
     ) -> Iterator[tuple[str, Machine, Evidence]]:
         """The machines with something to fold; none of a group that is being moved, for its record is not written."""
         if group.moving:
             return
         for name in sorted(names):
-            machine, known = group.machines.get(name), evidence.get(name)
-            if machine is None or known is None:
-                self.idle.add(name)
+            machine, machine_evidence = group.machines.get(name), evidence.get(name)
+            if machine is None or machine_evidence is None:
+                self.unchanged.add(name)
             else:
-                yield name, machine, known
+                yield name, machine, machine_evidence
 
     def _size(self, group: Group) -> int:
         """What a group's record will take, so far."""
         return self._sizes.get(group.key, group.size)
 
-    def _full(self, group: Group) -> bool:
+    def _nearly_full(self, group: Group) -> bool:
         return self._size(group) > self.limits.value_bytes * SPILL_SHARE
 
     def _size_after(self, edit: GroupEdit, machine: Machine, record: MachineRecord, folds: dict[str, JobFold]) -> int:
         """What a group's record takes with one machine's report; while there is room, more rather than less."""
         done = dict(edit.done)
-        rough = self._size(edit.group) + SIGNED_BYTES + sum(len(hold.tasks) for hold in record.holds)
+        upper_bound = (
+            self._size(edit.group) + TOKEN_UPDATE_BYTES + sum(len(allocation.tasks) for allocation in record.holds)
+        )
         for job_id, fold in folds.items():
-            if fold.spilt:
+            if fold.spilled:
                 done.pop(job_id, None)
             elif fold.finished:
                 done[job_id] = edit.with_done(job_id, fold.finished)
-                rough += len(job_id) + len(done[job_id]) + 6
-            rough += len(job_id) + 6 if fold.errors else 0
-        if self.limits.takes(rough):
-            return rough
+                upper_bound += len(job_id) + len(done[job_id]) + 6
+            upper_bound += len(job_id) + 6 if fold.errors else 0
+        if self.limits.takes(upper_bound):
+            return upper_bound
         return edit.size_with(machine.name, record, done, self.limits)
 
-    def _keep(self, edit: GroupEdit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int) -> None:
+    def _include(
+        self, edit: GroupEdit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int
+    ) -> None:
         """Make what a machine's report says a part of this transaction."""
         edit.replace(name, record)
         self.edits[edit.group.key] = edit
@@ -359,37 +366,37 @@
         self.taken.add(name)
         for job_id, fold in folds.items():
             self.jobs.setdefault(job_id, JobFold()).add(fold)
-            if fold.spilt:
+            if fold.spilled:
                 edit.done.pop(job_id, None)
             elif fold.finished:
                 edit.add_done(job_id, fold.finished)
 
-    def _ops_of(self, job_id: str, fold: JobFold, edit: GroupEdit, full: bool) -> int:
+    def _extra_ops(self, job_id: str, fold: JobFold, edit: GroupEdit, nearly_full: bool) -> int:
         """How many more changes a job's part costs; the end of one, its short record and its removal, costs two."""
         job = self.cluster_state.jobs[job_id]
-        both = JobFold()
-        before = self.jobs.get(job_id)
-        if before is not None:
-            both.add(before)
-        both.add(fold)
+        combined = JobFold()
+        previous = self.jobs.get(job_id)
+        if previous is not None:
+            combined.add(previous)
+        combined.add(fold)
         # What completed goes into the job's own record, with what the group kept of it, where it fills the group's.
         if fold.finished and job.spec.kind != "gang":
             large = len(edit.with_done(job_id, fold.finished)) > self.limits.value_bytes * DONE_SHARE
-            fold.spilt = both.spilt or large or full
-        if fold.spilt:
+            fold.spilled = combined.spilled or large or nearly_full
+        if fold.spilled:
             fold.finished |= decode_runs(edit.done.get(job_id, ""))
-            both.finished |= fold.finished
-            both.spilt = True
-        return self._cost(job, both) - (self._cost(job, before) if before is not None else 0)
+            combined.finished |= fold.finished
+            combined.spilled = True
+        return self._op_count(job, combined) - (self._op_count(job, previous) if previous is not None else 0)
 
-    def _cost(self, job: Job, fold: JobFold) -> int:
-        writes = self._writes(job, fold)
-        if ends_with(self.cluster_state, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
+    def _op_count(self, job: Job, fold: JobFold) -> int:
+        writes = self._changes_job_record(job, fold)
+        if completes_job(self.cluster_state, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
             return 2
         return 1 if writes else 0
 
-    def _writes(self, job: Job, fold: JobFold) -> bool:
-        return bool(fold.spilt or fold.broken or fold.errors or (fold.successes and job.record.errors))
+    def _changes_job_record(self, job: Job, fold: JobFold) -> bool:
+        return bool(fold.spilled or fold.broken or fold.errors or (fold.successes and job.record.errors))
 
     def end(self, job: Job) -> None:
         """End a job all of whose tasks are known to be done: their groups may have been folded apart."""
@@ -405,18 +412,18 @@
         ended: set[str] = set()
         for job_id, fold in self.jobs.items():
             job = self.cluster_state.jobs[job_id]
-            if self._cost(job, fold):
+            if self._op_count(job, fold):
                 if put_job(self.kernel, self.cluster_state, txn, job, fold):
                     ended.add(job_id)
                     self.lines.append(f"{job_id} is done")
                 elif fold.broken or fold.errors:
                     self.lines.append(f"{job_id} lost tasks: gang attempt {fold.broken}, errors {fold.errors}")
 
-        def still(job_id: str) -> bool:
+        def remains_live(job_id: str) -> bool:
             return self.cluster_state.is_live(job_id) and job_id not in ended
 
         for edit in self.edits.values():
-            if not edit.write(txn, self.limits, still):
+            if not edit.write(txn, self.limits, remains_live):
                 # Its size was worked out before: this is a fault, and must not be tried again and again.
                 raise AssertionError(f"{edit.group.key} grew over its limit")
         return txn
@@ -427,13 +434,13 @@
 
     Fewer, larger groups mean fewer changes, for a placement or a fold costs one for each group.
     """
-    holds = max(kind.gpus / 2, kind.cpus / CPUS_PER_HOLD, 1.0) if kind is not None else 1.0
-    machine, hold = FULL_BYTES
+    allocations = max(kind.gpus / 2, kind.cpus / CPUS_PER_ALLOCATION, 1.0) if kind is not None else 1.0
+    machine_bytes, allocation_bytes = FULL_FORM_BYTES
     if limits.lean:
         # One that fills up is split: it need not be small from the start.
-        machine, hold, holds = *LEAN_BYTES, max(holds / 2, 1.0)
-    fits = int(limits.value_bytes * GROUP_SHARE / (machine + holds * hold))
-    return max(min(fits, MOST_MACHINES), 1)
+        machine_bytes, allocation_bytes, allocations = *COMPACT_FORM_BYTES, max(allocations / 2, 1.0)
+    fits = int(limits.value_bytes * GROUP_SHARE / (machine_bytes + allocations * allocation_bytes))
+    return max(min(fits, MAX_GROUP_MACHINES), 1)
 
 
 def most_group_size(limits: Limits) -> int:
@@ -442,41 +449,43 @@
 
 
 def adoption(
-    cluster_state: ClusterState, strangers: dict[str, Report], fixed: int | None, limits: Limits
+    cluster_state: ClusterState, unknown_machines: dict[str, Report], fixed_size: int | None, limits: Limits
 ) -> tuple[Txn, list[str]]:
     """Add unknown machines of one type and zone to groups that have room, or to new ones.
 
     The version of their type's key is guarded and raised: who passes has seen all earlier adoptions, so no machine
     gets into two groups.
     """
-    first = next(iter(strangers.values()))
-    size = fixed or group_size(cluster_state.types.get(first.type), limits)
-    full = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
+    first = next(iter(unknown_machines.values()))
+    max_machines = fixed_size or group_size(cluster_state.types.get(first.type), limits)
+    max_bytes = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
     kind = (first.type, first.zone)
     lock = f"{ADOPTED}{first.type}.{first.zone}"
     groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == kind)
-    open_groups = [g for g in groups if len(g.machines) < size and g.size < full and not g.moving]
+    open_groups = [g for g in groups if len(g.machines) < max_machines and g.size < max_bytes and not g.moving]
     txn = Txn().guard(lock, cluster_state.version(lock)).put(lock, cluster_state.version(lock))
-    taken: list[str] = []
-    left = sorted(strangers)
-    room = limits.txn_bytes
+    adopted: list[str] = []
+    remaining = sorted(unknown_machines)
+    bytes_left = limits.txn_bytes
     for _ in range(limits.ops - 1):
-        if not left or room <= 0:
+        if not remaining or bytes_left <= 0:
             break
         if open_groups:
             group = open_groups.pop(0)
         else:
-            key = f"{GROUP}{first.type}.{first.zone}.{left[0]}"
+            key = f"{GROUP}{first.type}.{first.zone}.{remaining[0]}"
             while cluster_state.version(key):
                 key += "+"
             group = Group(key, {"type": first.type, "zone": first.zone, "machines": {}}, 0)
         edit = GroupEdit(group)
-        fits = int((full - group.size) // NEW_MACHINE_BYTES) + 1
-        part = left[: min(size - len(group.machines), max(fits, 1))]
-        left = left[len(part) :]
-        for name in part:
-            edit.replace(name, MachineRecord(address=strangers[name].address, spot=strangers[name].spot))
-        room -= group.size + NEW_MACHINE_BYTES * len(part)
+        fits = int((max_bytes - group.size) // NEW_MACHINE_BYTES) + 1
+        batch = remaining[: min(max_machines - len(group.machines), max(fits, 1))]
+        remaining = remaining[len(batch) :]
+        for name in batch:
+            edit.replace(
+                name, MachineRecord(address=unknown_machines[name].address, spot=unknown_machines[name].spot)
+            )
+        bytes_left -= group.size + NEW_MACHINE_BYTES * len(batch)
         if edit.write(txn, limits, cluster_state.is_live):
-            taken += part
-    return txn, taken
+            adopted += batch
+    return txn, adopted
--- a/ashtray/workers/messages.py
+++ b/ashtray/workers/messages.py
@@ -15,11 +15,11 @@
 
 U64 = Annotated[int, msgspec.Meta(ge=0)]
 _TASK = re.compile(r"(job-[0-9]{1,60})/([0-9]{1,6})")
-KNOWN_TASKS = 16_384
+TASK_NAME_CACHE_SIZE = 16_384
 """Names of tasks that are not read anew: some hundred machines' worth."""
 
 
-class PieceState(msgspec.Struct):
+class WireTaskState(msgspec.Struct):
     """What a report says of one task, in the words of the protocol."""
 
     piece: str
@@ -29,7 +29,7 @@
     stored: bool | None = None
 
 
-class Hello(msgspec.Struct):
+class WireReport(msgspec.Struct):
     """A worker's report, in the words of the protocol."""
 
     berth: Annotated[str, msgspec.Meta(min_length=1, max_length=100, pattern="^[!-~]+$")]
@@ -40,7 +40,7 @@
     shift: U64
     tick: U64
     baton: U64
-    pieces: list[PieceState]
+    pieces: list[WireTaskState]
     warning_s: Annotated[float, msgspec.Meta(ge=0)] | None = None
 
 
@@ -74,7 +74,7 @@
     tasks: dict[TaskKey, TaskState]
 
 
-@lru_cache(KNOWN_TASKS)
+@lru_cache(TASK_NAME_CACHE_SIZE)
 def parse_task(name: str) -> tuple[str, int] | None:
     """The job and the number of a task by its name on the wire; None if it is no name of a task.
 
@@ -87,26 +87,26 @@
 def parse_report(body: Any) -> Report | None:
     """Check a decoded report; None when it is malformed."""
     try:
-        hello = msgspec.convert(body, Hello)
+        wire_report = msgspec.convert(body, WireReport)
     except msgspec.ValidationError:
         return None
     tasks: dict[TaskKey, TaskState] = {}
-    for piece in hello.pieces:
+    for piece in wire_report.pieces:
         task = parse_task(piece.piece)
         if task is None:
             return None
         tasks[(task[0], piece.attempt, task[1])] = TaskState(piece.status, piece.cause)
-    notice = hello.warning_s
+    notice_s = wire_report.warning_s
     return Report(
-        hello.berth,
-        hello.endpoint,
-        hello.hull,
-        hello.yard,
-        hello.loaners,
-        hello.shift,
-        hello.tick,
-        hello.baton,
-        None if notice is None else int(min(notice, 1e9) * SECOND_US),
+        wire_report.berth,
+        wire_report.endpoint,
+        wire_report.hull,
+        wire_report.yard,
+        wire_report.loaners,
+        wire_report.shift,
+        wire_report.tick,
+        wire_report.baton,
+        None if notice_s is None else int(min(notice_s, 1e9) * SECOND_US),
         tasks,
     )
 
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -21,9 +21,9 @@
 from ashtray.store.client import Limits, Txn, Urgency
 from ashtray.workers.folding import FULL_SHARE, group_size
 
-LOOK_US = SECOND_US // 4
+CHECK_INTERVAL_US = SECOND_US // 4
 """The pause between two looks for groups to be split, in microseconds."""
-MOST_KEYS = 200
+MAX_KEYS_TRIED = 200
 """So many keys are tried for a new group that this controller is to look after."""
 SPLIT_SHARE = 0.8
 """A group that takes more of a value is split: nothing more is placed there, and there is to be room to fold."""
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Piece:
+class GroupPart:
     """What of a group goes into one new record."""
 
     group: Group
@@ -49,76 +49,76 @@
         return compact_record.pack(value)
 
 
-def _done_parts(job_id: str, tasks: set[int], most: int) -> list[str]:
+def _done_parts(job_id: str, tasks: set[int], max_bytes: int) -> list[str]:
     """Return a job's completed tasks as texts of runs, each of `most` bytes at the most or of one run."""
-    parts: list[str] = []
-    part: list[str] = []
+    texts: list[str] = []
+    text: list[str] = []
     size = 0
     for run in encode_runs(tasks).split(","):
-        if part and size + len(run) + 1 > most:
-            parts.append(",".join(part))
-            part, size = [], 0
-        part.append(run)
+        if text and size + len(run) + 1 > max_bytes:
+            texts.append(",".join(text))
+            text, size = [], 0
+        text.append(run)
         size += len(run) + 1
-    return [*parts, ",".join(part)]
+    return [*texts, ",".join(text)]
 
 
-def pieces(cluster_state: ClusterState, group: Group, limits: Limits) -> list[Piece]:
+def parts_of_group(cluster_state: ClusterState, group: Group, limits: Limits) -> list[GroupPart]:
     """Return a group cut into what fits: first the completed tasks, job by job, then its machines by name.
 
     A machine that is too large by itself gets a record of its own, to be written once enough of it has ended.
     """
-    cut = [Piece(group)]
-    _cut_done(cut, cluster_state, limits)
-    _cut_machines(cut, cluster_state, limits)
-    return [piece for piece in cut if piece.machines or piece.done]
+    parts = [GroupPart(group)]
+    _cut_done(parts, cluster_state, limits)
+    _cut_machines(parts, cluster_state, limits)
+    return [part for part in parts if part.machines or part.done]
 
 
-def _cut_done(cut: list[Piece], cluster_state: ClusterState, limits: Limits) -> None:
+def _cut_done(parts: list[GroupPart], cluster_state: ClusterState, limits: Limits) -> None:
     """Add the completed tasks of live jobs that have not moved yet to the last piece, and to new ones after it."""
-    group = cut[-1].group
-    most = int(limits.value_bytes * FULL_SHARE)
-    most_of_job = int(limits.value_bytes * RUNS_SHARE)
-    moved_upto = cluster_state.moved.get(group.key, ("", ""))[1]
+    group = parts[-1].group
+    max_bytes = int(limits.value_bytes * FULL_SHARE)
+    max_job_bytes = int(limits.value_bytes * RUNS_SHARE)
+    last_moved_job = cluster_state.moved.get(group.key, ("", ""))[1]
     for job_id, tasks in sorted(group.done.items()):
-        if job_id <= moved_upto or not cluster_state.is_live(job_id):
+        if job_id <= last_moved_job or not cluster_state.is_live(job_id):
             continue
-        for runs in _done_parts(job_id, tasks, most_of_job):
-            if job_id in cut[-1].done:
-                cut.append(Piece(group))
-            cut[-1].done[job_id] = runs
-            if compact_record.size_of(cut[-1].value()) > most and len(cut[-1].done) > 1:
-                del cut[-1].done[job_id]
-                cut.append(Piece(group, done={job_id: runs}))
+        for runs in _done_parts(job_id, tasks, max_job_bytes):
+            if job_id in parts[-1].done:
+                parts.append(GroupPart(group))
+            parts[-1].done[job_id] = runs
+            if compact_record.size_of(parts[-1].value()) > max_bytes and len(parts[-1].done) > 1:
+                del parts[-1].done[job_id]
+                parts.append(GroupPart(group, done={job_id: runs}))
 
 
-def _cut_machines(cut: list[Piece], cluster_state: ClusterState, limits: Limits) -> None:
+def _cut_machines(parts: list[GroupPart], cluster_state: ClusterState, limits: Limits) -> None:
     """Add the machines to the last piece, and to new ones after it."""
-    group = cut[-1].group
-    most = int(limits.value_bytes * FULL_SHARE)
+    group = parts[-1].group
+    max_bytes = int(limits.value_bytes * FULL_SHARE)
     count = group_size(cluster_state.types.get(group.type), limits)
     for name in sorted(group.machines):
         raw = group.machines[name].raw
-        cut[-1].machines[name] = raw
-        crowded = len(cut[-1].machines) > count or compact_record.size_of(cut[-1].value()) > most
-        if crowded and (len(cut[-1].machines) > 1 or cut[-1].done):
-            del cut[-1].machines[name]
-            cut.append(Piece(group, {name: raw}))
+        parts[-1].machines[name] = raw
+        too_large = len(parts[-1].machines) > count or compact_record.size_of(parts[-1].value()) > max_bytes
+        if too_large and (len(parts[-1].machines) > 1 or parts[-1].done):
+            del parts[-1].machines[name]
+            parts.append(GroupPart(group, {name: raw}))
 
 
-def split_mark(moved: list[Piece], rest: list[Piece], known: tuple[str, str]) -> dict[str, str]:
+def split_progress(moved: list[GroupPart], remaining: list[GroupPart], previous: tuple[str, str]) -> dict[str, str]:
     """Return the record that says how far a group is split once the pieces `moved` have records of their own.
 
     `rest` are the pieces still to come, and `known` is the machine and the job up to which it has been split so far.
     """
-    machines = [name for piece in moved for name in piece.machines]
-    jobs = [job_id for piece in moved for job_id in piece.done]
-    known_machine, known_job = known
-    last_job = max(jobs, default=known_job)
-    if not machines and rest and last_job in rest[0].done:
+    machines = [name for part in moved for name in part.machines]
+    jobs = [job_id for part in moved for job_id in part.done]
+    previous_machine, previous_job = previous
+    last_job = max(jobs, default=previous_job)
+    if not machines and remaining and last_job in remaining[0].done:
         # The rest of this job's completed tasks comes with the next step: what is said twice stays true.
-        last_job = max((job for job in jobs if job != last_job), default=known_job)
-    return {"machine": max(machines, default=known_machine), "job": last_job}
+        last_job = max((job for job in jobs if job != last_job), default=previous_job)
+    return {"machine": max(machines, default=previous_machine), "job": last_job}
 
 
 class Splitter:
@@ -133,10 +133,10 @@
         """Split the groups that are due once, then wait for `LOOK_US`."""
         base = self.base
         if not base.limits.lean or not base.follower.loaded or not self.presence.incarnation:
-            yield Sleep(LOOK_US)
+            yield Sleep(CHECK_INTERVAL_US)
             return
         for group in self.due():
-            number = min(len(pieces(base.cluster_state, group, base.limits)), base.limits.ops)
+            number = min(len(parts_of_group(base.cluster_state, group, base.limits)), base.limits.ops)
 
             def build(key: str = group.key) -> Txn | None:
                 return self.split(key)
@@ -146,27 +146,27 @@
                 self.kernel.log("info", f"{group.key} ({group.size} bytes) is split")
             elif not (yield from base.follower.barrier()):
                 break
-        yield Sleep(LOOK_US)
+        yield Sleep(CHECK_INTERVAL_US)
 
     def due(self) -> list[Group]:
         """Return the groups to be split, those begun first, then the largest."""
         base = self.base
-        most = base.limits.value_bytes * SPLIT_SHARE
+        max_bytes = base.limits.value_bytes * SPLIT_SHARE
         groups = []
         for group in base.cluster_state.groups.values():
-            too_large = group.size > most and (len(group.machines) > 1 or group.packed is None)
+            too_large = group.size > max_bytes and (len(group.machines) > 1 or group.packed is None)
             if (group.moving or too_large) and self.presence.foreman(group.key) == base.settings.host_name:
                 groups.append(group)
         return sorted(groups, key=lambda group: (not group.moving, -group.size))
 
-    def _key(self, base: str, taken: set[str]) -> str:
+    def _new_group_key(self, base: str, taken: set[str]) -> str:
         """Return the key of a new group, such that its workers stay with this controller if possible.
 
         Another one would have to take over each of them.
         """
         presence, cluster_state = self.presence, self.base.cluster_state
         key = base
-        for n in range(MOST_KEYS):
+        for n in range(MAX_KEYS_TRIED):
             key = f"{base}+{n}"
             if key in taken or cluster_state.version(key):
                 continue
@@ -187,42 +187,42 @@
         if group is None or not limits.lean:
             return None
         txn = Txn().guard(key, group.version)
-        moved = self._change_old_record(txn, group, pieces(cluster_state, group, limits))
+        moved = self._change_old_record(txn, group, parts_of_group(cluster_state, group, limits))
         if moved is None or not self._add_new_records(txn, group, moved):
             return None
         return txn
 
-    def _change_old_record(self, txn: Txn, group: Group, cut: list[Piece]) -> list[Piece] | None:
+    def _change_old_record(self, txn: Txn, group: Group, parts: list[GroupPart]) -> list[GroupPart] | None:
         """Add what becomes of the old record; returns the pieces for new ones, None if it would be too large."""
         cluster_state, limits = self.base.cluster_state, self.base.limits
         lock = split_key(group.key)
-        if not group.moving and len(cut) <= limits.ops:
+        if not group.moving and len(parts) <= limits.ops:
             # The record keeps the last piece; in compact form that may be all of it.
-            *moved, last = cut
+            *moved, last = parts
             txn.guard(lock, 0).put(group.key, last.value())
             return moved if _may_be_written(last, limits) else None
-        if len(cut) <= limits.ops - 2:
+        if len(parts) <= limits.ops - 2:
             txn.guard(lock, cluster_state.version(lock)).remove(group.key)
             if group.moving:
                 txn.remove(lock)
-            return cut
-        moved, rest = cut[: limits.ops - 1], cut[limits.ops - 1 :]
-        mark = split_mark(moved, rest, cluster_state.moved.get(group.key, ("", "")))
-        txn.guard(lock, cluster_state.version(lock)).put(lock, mark)
+            return parts
+        moved, remaining = parts[: limits.ops - 1], parts[limits.ops - 1 :]
+        progress = split_progress(moved, remaining, cluster_state.moved.get(group.key, ("", "")))
+        txn.guard(lock, cluster_state.version(lock)).put(lock, progress)
         return moved
 
-    def _add_new_records(self, txn: Txn, group: Group, moved: list[Piece]) -> bool:
+    def _add_new_records(self, txn: Txn, group: Group, moved: list[GroupPart]) -> bool:
         """Add new groups for these pieces; False if one of them is too large."""
         base = f"{GROUP}{group.type}.{group.zone}."
         taken: set[str] = set()
-        for piece in moved:
-            if not _may_be_written(piece, self.base.limits):
+        for part in moved:
+            if not _may_be_written(part, self.base.limits):
                 return False
-            key = self._key(base + next(iter(piece.machines), group.key.rpartition(".")[2]), taken)
+            key = self._new_group_key(base + next(iter(part.machines), group.key.rpartition(".")[2]), taken)
             taken.add(key)
-            txn.guard(key, 0).put(key, piece.value())
+            txn.guard(key, 0).put(key, part.value())
         return True
 
 
-def _may_be_written(piece: Piece, limits: Limits) -> bool:
-    return limits.takes(compact_record.size_of(piece.value()), len(piece.machines) == 1)
+def _may_be_written(part: GroupPart, limits: Limits) -> bool:
+    return limits.takes(compact_record.size_of(part.value()), len(part.machines) == 1)
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -35,8 +35,12 @@
         "if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):",
         "if False:",
     ),
-    "any-report-is-proof": (DESK, "worker.exact = report.token == worker.token", "worker.exact = True"),
-    "copies-add-machines": (DESK, "if report.token == 0 or worker.exact:", "if True:"),
+    "any-report-is-proof": (
+        DESK,
+        "worker.token_confirmed = report.token == worker.token",
+        "worker.token_confirmed = True",
+    ),
+    "copies-add-machines": (DESK, "if report.token == 0 or worker.token_confirmed:", "if True:"),
     "leases-renewed-for-twice-as-long": (
         "ashtray/workers/renewal.py",
         "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -7,17 +7,17 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "workers-learn-of-a-doubt-with-their-reports": (
         DELIVERY,
-        "            self.kernel.spawn(self._tell_token(worker))\n",
+        "            self.kernel.spawn(self._announce_token(worker))\n",
         "",
     ),
     "tokens-are-told-without-kills": (
         DELIVERY,
-        "messages.orders_body(token, report.session, self._kills(worker, report))",
+        "messages.orders_body(token, report.session, self._kills_for_worker(worker, report))",
         "messages.orders_body(token, report.session, [])",
     ),
     "cancellations-only-wait-for-what-is-underway": (
         DELIVERY,
-        "            if worker.exact and worker.may_start(job_ids):\n",
+        "            if worker.token_confirmed and worker.may_start(job_ids):\n",
         "            if False:\n",
     ),
     "cancellations-do-not-settle-here": (
@@ -32,7 +32,7 @@
     ),
     "starts-underway-are-forgotten": (
         WORKER,
-        "if self.underway is not None and any(key[0] in job_ids for key in self.underway.tasks):",
+        "if self.outstanding is not None and any(key[0] in job_ids for key in self.outstanding.tasks):",
         "if False:",
     ),
     "what-fetches-counts-as-settled": (
@@ -47,7 +47,7 @@
     ),
     "whoever-answers-is-heard-out": (
         DELIVERY,
-        "return [worker.name for worker in known]",
+        "return [worker.name for worker in owned]",
         "return names",
     ),
     "silence-counted-from-the-end-of-a-takeover": (
@@ -57,7 +57,7 @@
     ),
     "order-answers-clear-what-went-out-to-reports": (
         DESK,
-        "if worker.answered is not None and not direct and",
-        "if worker.answered is not None and",
+        "            worker.answered_report is not None\n            and not direct\n",
+        "            worker.answered_report is not None\n",
     ),
 }
--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -11,8 +11,8 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "freed-late-after-a-new-session": (
         DESK,
-        "freed_late = self._may_be_freed_late(worker, report)",
-        "freed_late = False",
+        "stale_fold = self._stale_fold_possible(worker, report)",
+        "stale_fold = False",
     ),
     "freed-late-after-a-restart": (
         DESK,
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -8,11 +8,15 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "fast-machines-launch-before-their-record": (
         DESK,
-        "return worker.exact and machine.record.token == worker.token",
-        "return worker.exact",
+        "return worker.token_confirmed and machine.record.token == worker.token",
+        "return worker.token_confirmed",
     ),
     "old-report-after-newer-ones": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
-    "old-reports-count-as-heard": (DESK, "        if met or worker.exact:\n", "        if True:\n"),
+    "old-reports-count-as-heard": (
+        DESK,
+        "        if newly_claimed or worker.token_confirmed:\n",
+        "        if True:\n",
+    ),
     "small-jobs-done-only-once-moved": (
         "ashtray/jobs/states.py",
         "if job.id in cluster_state.completed():",
@@ -26,8 +30,9 @@
     ),
     "direct-orders-count-as-heard": (
         DESK,
-        "        worker.again = True\n        if not worker.tending:",
-        "        worker.again, worker.heard_us = True, self.kernel.now_us\n        if not worker.tending:",
+        "        worker.reconcile_again = True\n        if not worker.reconciling:",
+        "        worker.reconcile_again, worker.heard_us = True, self.kernel.now_us\n"
+        "        if not worker.reconciling:",
     ),
     "stops-in-any-zone": (
         PREEMPTION,
--- a/tests/mutants/mute_machines.py
+++ b/tests/mutants/mute_machines.py
@@ -13,19 +13,20 @@
     ),
     "answers-to-direct-orders-teach-nothing": (
         DELIVERY,
-        "            self._heard(worker, report)\n",
+        "            self._on_answer(worker, report)\n",
         "            pass\n",
     ),
     "what-an-answer-tells-is-not-looked-at": (
         DESK,
-        "        worker.again = True\n        if not worker.tending:\n            self.tend(worker)\n",
+        "        worker.reconcile_again = True\n        if not worker.reconciling:\n"
+        "            self.reconcile(worker)\n",
         "",
     ),
     "silent-machines-are-kept": (REVIEW, "return Loss.SILENT if silent else None", "return None"),
     "refused-orders-are-sent-again-at-once": (
         DELIVERY,
-        "worker.direct_bad_until_us = self.kernel.now_us + BAD_US",
-        "worker.direct_bad_until_us = self.kernel.now_us",
+        "worker.direct_backoff_until_us = self.kernel.now_us + DIRECT_BACKOFF_US",
+        "worker.direct_backoff_until_us = self.kernel.now_us",
     ),
 }
 
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -43,7 +43,11 @@
 MACHINE_HEALTH = "ashtray/placement/machine_health.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
-    "absence-is-proof": (FOLDING, "sure = evidence.exact and record.token == evidence.token", "sure = True"),
+    "absence-is-proof": (
+        FOLDING,
+        "absence_is_proof = evidence.proves_absence and record.token == evidence.token",
+        "absence_is_proof = True",
+    ),
     "free-before-deletion": (
         DECOMMISSIONING,
         "        if reply.status != 200:\n            return\n        self.inventory.note_deleted(names)",
@@ -52,9 +56,9 @@
     "place-while-deleting": (DECOMMISSIONING, ".machine(name).retiring = True", ".machine(name)"),
     "clear-before-commit": (
         DESK,
-        '                elif over and seen.state == "saving":',
+        '                elif job_is_over and seen.state == "saving":',
         '                elif seen.state == "ended":\n                    kills.append(messages.clear(key))\n'
-        '                elif over and seen.state == "saving":',
+        '                elif job_is_over and seen.state == "saving":',
     ),
     "one-token-for-all": (
         DESK,
@@ -63,11 +67,15 @@
     ),
     "orders-without-record": (
         DESK,
-        "return worker.exact and machine.record.token == worker.token",
-        "return worker.exact",
+        "return worker.token_confirmed and machine.record.token == worker.token",
+        "return worker.token_confirmed",
     ),
     "no-doubt": (DELIVERY, "if not reply.refused and worker.token == token:", "if False:"),
-    "orders-in-flight-ignored": (DESK, "busy = worker.in_flight or worker.answered is not None", "busy = False"),
+    "orders-in-flight-ignored": (
+        DESK,
+        "busy = worker.in_flight or worker.answered_report is not None",
+        "busy = False",
+    ),
     "renew-for-ever": (
         "ashtray/workers/renewal.py",
         "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
@@ -304,7 +312,7 @@
     "moved-machines-count": (GROUP_INDEX, "            if name <= moved_upto:\n", "            if False:\n"),
     "split-not-marked": (
         "ashtray/workers/splitting.py",
-        "txn.guard(lock, cluster_state.version(lock)).put(lock, mark)",
+        "txn.guard(lock, cluster_state.version(lock)).put(lock, progress)",
         "pass",
     ),
     "record-grows-for-ever": (
@@ -320,7 +328,11 @@
         "",
     ),
     "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, cluster_state.version(lock))", "pass"),
-    "notice-taken-for-nothing-new": (DESK, "worker.quiet if report.notice_us is None else None", "worker.quiet"),
+    "notice-taken-for-nothing-new": (
+        DESK,
+        "worker.in_sync_and_folded if report.notice_us is None else None",
+        "worker.in_sync_and_folded",
+    ),
     "alone-keeps-its-workers": (
         "ashtray/peers/presence.py",
         "return next(iter(self.presence.heirs(key, 1)), None)",
@@ -328,13 +340,17 @@
     ),
     "alone-sends-on-for-ever": (
         DESK,
-        "worker.sticks_until_us = now + STICK_US\n            return self.peers",
+        "worker.keep_until_us = now + KEEP_WORKER_US\n            return self.peers",
         "pass\n            return self.peers",
     ),
     "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(UNWELL_US)", ""),
     "copy-is-a-report": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
-    "token-below-the-record": (DESK, "signed = machine.record.token if machine is not None else 0", "signed = 0"),
-    "deaf-is-heard": (DESK, "        if met or worker.exact:\n", "        if True:\n"),
+    "token-below-the-record": (
+        DESK,
+        "recorded_token = machine.record.token if machine is not None else 0",
+        "recorded_token = 0",
+    ),
+    "deaf-is-heard": (DESK, "        if newly_claimed or worker.token_confirmed:\n", "        if True:\n"),
     "zone-not-checked": (PLACER, "if spec.same_zone and len(zones) > 1:", "if False:"),
 }
 
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -166,7 +166,7 @@
     model.roaming_until = 0
     model.run(3 * REPORT_S)
     # Its owner, and whoever has sent it there.
-    assert any(host.core.desk.workers[name].exact for host in model.hosts)
+    assert any(host.core.desk.workers[name].token_confirmed for host in model.hosts)
     for host in model.hosts:
         known = host.core.desk.workers[name]
         assert known.newest > sent
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -130,8 +130,8 @@
     model.run(20)
     desk = model.hosts[0].core.desk
     looks: list[str] = []
-    see = desk._see
-    desk._see = lambda worker, *args: looks.append(worker.name) or see(worker, *args)
+    see = desk._mark_for_fold
+    desk._mark_for_fold = lambda worker, *args: looks.append(worker.name) or see(worker, *args)
     before = {name: worker.tick for name, worker in model.workers.items()}
     model.run(10)
     assert all(worker.tick > before[name] + 3 for name, worker in model.workers.items())
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -53,12 +53,16 @@
     """Safety point 2."""
     model = settled()
     name = next(n for machines in model.on.values() for n in machines)
-    desk = next(h.core.desk for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
+    desk = next(
+        h.core.desk
+        for h in model.hosts
+        if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
+    )
     worker, machine = desk.workers[name], desk.base.cluster_state.machines[name]
     assert machine.holds and worker.report.tasks
     ended = {key: TaskState("ended", "done") for key in worker.report.tasks}
-    worker.report, worker.settled = msgspec.structs.replace(worker.report, tasks=ended), None
-    assert desk._review(worker, machine) == [] and worker.clears == []
+    worker.report, worker.in_sync = msgspec.structs.replace(worker.report, tasks=ended), None
+    assert desk._compute_orders(worker, machine) == [] and worker.clears == []
 
 
 def never(states: JobStates) -> Any:
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -61,7 +61,7 @@
     core = model.hosts[number].core
     if core is None:
         return []
-    return [name for name, worker in core.desk.workers.items() if worker.exact and name in model.workers]
+    return [name for name, worker in core.desk.workers.items() if worker.token_confirmed and name in model.workers]
 
 
 def keep_workers(model: Model, number: int) -> None:
--- a/tests/test_meetings_late_commands.py
+++ b/tests/test_meetings_late_commands.py
@@ -198,7 +198,7 @@
         assert host.core is not None
         for worker in host.core.desk.workers.values():
             # As after an order without an answer.
-            worker.direct_bad_until_us = host.core.kernel.now_us + 30 * SECOND
+            worker.direct_backoff_until_us = host.core.kernel.now_us + 30 * SECOND
     for worker in model.workers.values():
         worker.fetch_us = 10 * SECOND
     model.submit(batch(50, pieces=1, cpus=1.0, bundle="img-2"))
@@ -303,16 +303,16 @@
     worker = core.desk.workers[name]
     report = worker.report
     assert report is not None
-    worker.answered = (report.session, report.tick)
+    worker.answered_report = (report.session, report.tick)
     # Executed after the report was sent, before its answer arrives.
     later = msgspec.structs.replace(report, tick=report.tick + 1)
     core.desk._on_order_answer(worker, later)
-    assert worker.report is later and worker.answered == (report.session, report.tick)
+    assert worker.report is later and worker.answered_report == (report.session, report.tick)
     group = core.cluster_state.groups[core.cluster_state.machines[name].group]
-    assert not core.desk._evidence(group)[name].exact
+    assert not core.desk._evidence(group)[name].proves_absence
     # Its next report is sent when the answer has come or was given up.
-    core.desk._learn(worker, msgspec.structs.replace(report, tick=report.tick + 2))
-    assert worker.answered is None
+    core.desk._take_report(worker, msgspec.structs.replace(report, tick=report.tick + 2))
+    assert worker.answered_report is None
 
 
 # The sender is gone
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -168,7 +168,7 @@
         """The controller that gives a machine's orders, if one does."""
         for host in self.hosts:
             worker = host.core.desk.workers.get(name) if host.core is not None else None
-            if worker is not None and worker.exact and (name, worker.token) in self.signed:
+            if worker is not None and worker.token_confirmed and (name, worker.token) in self.signed:
                 return host
         return None
 
@@ -441,16 +441,16 @@
     for machine, report in late:
         known = core.desk.workers.get(machine)
         newer = known is not None and known.newest >= (report["shift"], report["tick"])
-        before = None if known is None else (known.report, known.token, known.exact, known.heard_us)
+        before = None if known is None else (known.report, known.token, known.token_confirmed, known.heard_us)
         answer = model.copy_to(heir, machine, report)
         if known is None:
             # It shows no token that this process has given out, so it is no proof.
             met = core.desk.workers.get(machine)
-            assert met is None or not met.exact
+            assert met is None or not met.token_confirmed
         elif newer:
             refused += 1
             assert answer == [503]
-            assert (known.report, known.token, known.exact, known.heard_us) == before
+            assert (known.report, known.token, known.token_confirmed, known.heard_us) == before
     # The meeting: some of them came after newer ones.
     assert refused > 10
     model.cancel("job-5")
@@ -509,7 +509,7 @@
     model.copy_to(0, name, report)
     met = model.hosts[0].core.desk.workers[name]
     # The meeting: it remembers nothing but the copy, and may have chosen a token below the worker's.
-    assert met.report is not None or met.sent_away_us > 0
+    assert met.report is not None or met.redirected_us > 0
     model.run(2 * LEASE_S)
     assert name not in model.workers or model.workers[name].session == session
     model.cancel("job-5")
@@ -886,7 +886,7 @@
     # It arrives 20 s late.
     model.workers[name].notice_us = 10 * SECOND
     assert model.copy_to(owner.number, name, model.workers[name].report()) == [200]
-    leaves_us = owner.core.desk._leaves_us(owner.core.desk.workers[name])
+    leaves_us = owner.core.desk._time_left_us(owner.core.desk.workers[name])
     assert leaves_us is not None and leaves_us <= 10 * SECOND
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -176,8 +176,8 @@
     model.run(3)
     for host in model.hosts:
         host.core.store.changes.scarce = lambda: True
-        host.core.desk._pace_us = lambda: 60 * SECOND
-        host.core.desk._fold_us = model.now + SECOND
+        host.core.desk._fold_interval_us = lambda: 60 * SECOND
+        host.core.desk._last_fold_us = model.now + SECOND
     model.submit(submission("job-0", pieces=18, cpus=4.0, crew="free", urgency="urgent", hulls=["small"]))
     model.run(1)
     model.submit(submission("job-1", pieces=1, crew="free", waits_on=["job-0"], due_s=300.0))
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -79,12 +79,14 @@
 def test_orders_on_their_way_withhold_the_proof_of_absence():
     model = settled()
     name = next(n for machines in model.on.values() for n in machines)
-    core = next(h.core for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
+    core = next(
+        h.core for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
+    )
     group = core.cluster_state.groups[core.cluster_state.machines[name].group]
     core.desk.workers[name].in_flight = True
-    assert not core.desk._evidence(group)[name].exact
+    assert not core.desk._evidence(group)[name].proves_absence
     core.desk.workers[name].in_flight = False
-    assert core.desk._evidence(group)[name].exact
+    assert core.desk._evidence(group)[name].proves_absence
 
 
 def test_every_change_of_a_shared_record_is_guarded_by_its_version():
@@ -126,7 +128,11 @@
 def test_orders_are_given_only_once_the_record_carries_the_token():
     model = settled()
     name = next(n for machines in model.on.values() for n in machines)
-    desk = next(h.core.desk for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].exact)
+    desk = next(
+        h.core.desk
+        for h in model.hosts
+        if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
+    )
     machine = desk.base.cluster_state.machines[name]
     assert desk._owns(desk.workers[name], machine)
     machine.record.token += 1
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -274,8 +274,8 @@
     for host in model.hosts:
         desk = host.core.desk
         host.core.cluster_state.is_over = lambda job_id: False
-        review = desk._review
-        desk._review = lambda worker, machine, review=review: [
+        review = desk._compute_orders
+        desk._compute_orders = lambda worker, machine, review=review: [
             order for order in review(worker, machine) if order["verb"] != "kill"
         ]
 
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -43,7 +43,7 @@
 CPU, GPU = "cpu", "gpu"
 DUTIES = {
     "reports": "desk.py:on_report",
-    "orders and folds": "desk.py:_tend",
+    "orders and folds": "desk.py:_reconcile_worker",
     "folding": "desk.py:fold",
     "following": "follower.py:_round",
     "planning": "placer.py:_round",
