--- a/ashtray/workers/__init__.py
+++ b/ashtray/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: reports, ownership tokens, orders and folding of freed room."""
+"""Workers: their reports, ownership tokens and orders, and writing what they report into group records."""
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -1,4 +1,8 @@
-"""Folding: what a group's owners have learnt of its machines becomes one change of its record."""
+"""Folds: transactions that write what workers reported into group records.
+
+A fold applies the reports of a group's machines to the group's record: it frees the resources of ended tasks, notes
+completed tasks and failures, and records ownership tokens.  Where needed it also writes the records of the jobs.
+"""
 
 from __future__ import annotations
 
@@ -17,47 +21,52 @@
 from ashtray.workers.messages import Report, TaskState
 
 SAVE_LEAD_US = 5 * SECOND_US
-"""A report may be three seconds away, and a commit one more."""
+"""How much earlier than necessary a save is ordered: a report may be three seconds away, and a commit one more."""
 DONE_SHARE = 0.125
-"""A job whose completed tasks would take more of a group's record has them written into its own."""
+"""If a job's completed tasks take more than this part of the value size limit, they go into the job's own record."""
 
 NEW_MACHINE_BYTES = 120
+"""What a new machine adds to a group's record."""
 FULL_SHARE = 0.6
-"""A group that takes this part of a value gets no more machines."""
+"""A group whose record takes this part of the value size limit gets no more machines."""
 FULL_FORM_BYTES, COMPACT_FORM_BYTES = (450, 110), (70, 28)
-"""What a machine and a hold take of a record, with images and completed tasks: in full and in lean form."""
+"""Bytes of a record for each machine and each allocation, with images and completed tasks: full and compact form."""
 TOKEN_UPDATE_BYTES = 60
-"""What a new token, an address and a flag may add to a machine's part."""
+"""What a new token, an address and a flag may add to a machine's part of a record."""
 CPUS_PER_ALLOCATION = 16
+"""The CPUs that an allocation is expected to take on average, for estimates of record sizes."""
 MAX_REMEMBERED_FAILURES = 6
-"""So many jobs that failed on a machine, and machines that a job failed on, are remembered."""
+"""How many jobs that failed on a machine, and how many machines that a job failed on, are remembered."""
 MAX_GROUP_MACHINES = 32
-"""In a group, however much a value holds: all controllers write the same records, each change of one is read by all
-of them, and all its workers report to one.  Tried on simulated days of 830 machines: 48 and 120 spared changes, but
-reading a record of 48 takes 1.0 ms of processor time, and with 120 conflicts took what was spared.
+"""The most machines in a group, however many fit into a value.
+
+All controllers write to the same records and read every change of each record, and all workers of a group report to
+one controller.  With 830 machines in total, larger groups need fewer writes, but reading a record of 48 machines
+takes 1.0 ms of processor time, and with 120 machines in a group conflicting writes cost as many as were saved.
 """
 GROUP_SHARE = 0.7
-"""Of a value, what a group's machines may be expected to take: estimates of their records' sizes."""
+"""The part of the value size limit that the estimated records of a group's machines may take."""
 SPILL_SHARE = 0.75
-"""Nor does a group whose record takes more than this part of a value keep any more of them."""
+"""If a group's record takes more than this part of the value size limit, completed tasks go into jobs' records."""
 
 
 @dataclass
 class JobFold:
-    """What a fold changes in one job's record."""
+    """What a fold changes in one job's record, or adds to the job's completed tasks in a group's record."""
 
     finished: set[int] = field(default_factory=set)
     broken: int = 0
+    """The last attempt of a gang that has lost a task; 0 if none has."""
     errors: int = 0
     failed_on: set[str] = field(default_factory=set)
     successes: int = 0
     ends: bool = False
-    """The job is to be ended now, with all of its tasks known to be done."""
+    """Whether the job is to be ended now, because all of its tasks are known to be done."""
     spilled: bool = False
-    """What completed is written into the job's own record, not into the group's."""
+    """Whether completed tasks are written into the job's own record instead of the group's."""
 
     def add(self, other: JobFold) -> None:
-        """Add what another fold of the same job says."""
+        """Add the changes of another fold of the same job."""
         self.finished |= other.finished
         self.broken = max(self.broken, other.broken)
         self.errors += other.errors
@@ -68,7 +77,7 @@
 
 
 def allocation_is_dead(cluster_state: ClusterState, job_id: str, attempt: int, stop_us: int) -> bool:
-    """Whether a hold's tasks are not to be started any more."""
+    """Return whether the tasks of an allocation must not be started any more."""
     job = cluster_state.jobs.get(job_id)
     if job is None or stop_us >= 0 or attempt <= job.record.broken:
         return True
@@ -77,17 +86,17 @@
 
 @dataclass
 class Evidence:
-    """A worker's newest report, heard by its owner.
+    """A worker's newest report, which carries the token of the controller that received it.
 
-    `exact` says that it carries exactly this controller's token: no order of an earlier owner can be executed
-    after it, so a task that it does not list is surely not there.
+    The worker executes no orders of earlier owners after such a report.  `proves_absence` says that this controller
+    has no orders outstanding either, so a task that the report does not list is not on the machine.
     """
 
     report: Report
     token: int
     proves_absence: bool
     time_left_us: int | None = None
-    """The time until the cloud takes the machine away, if it has said so."""
+    """Microseconds until the cloud takes the machine away, if it has given notice."""
 
 
 def fold_machine(
@@ -98,10 +107,10 @@
     folds: dict[str, JobFold],
     deferred_jobs: Container[str] = (),
 ) -> bool:
-    """Apply a report to a copy of a machine's record, but for some jobs; says whether anything changed."""
+    """Apply a report to a copy of a machine's record, but for `deferred_jobs`; returns whether anything changed."""
     if record.token > evidence.token:
-        # A later owner has signed since (safety, point 3).  In the machine's next session it may have started anew,
-        # under the same attempt, what this report lists as ended.
+        # A later owner has recorded its token (safety point 3).  In the worker's next session it may have started
+        # tasks again, under the same attempt, that this report lists as ended.
         return False
     changed = False
     report = evidence.report
@@ -112,7 +121,7 @@
     if report.notice_us is not None and not record.retiring:
         record.retiring = True
         changed = True
-    # While orders are on their way, absence is no evidence, and the token is not written either.
+    # While orders are on their way, a task that is not listed may be about to start, and the token is not written.
     absence_is_proof = evidence.proves_absence and record.token == evidence.token
     kept = []
     for allocation, current in zip(record.holds, machine.holds, strict=True):
@@ -144,9 +153,10 @@
 
 
 def must_save_now(job: Job, stop_us: int, time_left_us: int | None) -> bool:
-    """Whether tasks are to save now because their machine goes: as late as it can be told, saved and reported.
+    """Return whether tasks must save a checkpoint now because the cloud takes their machine away.
 
-    A gang is stopped as a whole, which one machine's owner cannot do: the fleet's runner sees to it.
+    This is as late as there is still time for the order, the checkpoint and the report.  A gang has to be stopped as
+    a whole, which the owner of one machine cannot do; the fleet leader does it.
     """
     spec = job.spec
     if time_left_us is None or stop_us >= 0 or not spec.checkpoint_us or spec.kind == "gang":
@@ -163,7 +173,7 @@
     cause: str | None,
     folds: dict[str, JobFold],
 ) -> None:
-    """Account for one task that has left its machine."""
+    """Record the end of one task in its machine's record and in the fold of its job."""
     job_id, attempt = allocation.job, allocation.attempt
     job = cluster_state.jobs.get(job_id)
     if cause == "done":
@@ -177,7 +187,7 @@
         fold.successes += 1
         if job.spec.kind == "service":
             return
-        # The tasks of a gang complete together, so one that is done speaks for all.
+        # The tasks of a gang complete together, so all are done when one is.
         fold.finished |= set(range(job.spec.tasks)) if job.spec.kind == "gang" else {task}
     else:
         if cause == "error":
@@ -188,13 +198,13 @@
 
 
 def end_job(txn: Txn, job: Job, status: str, done: int, at_us: int) -> Txn:
-    """Move a job's record to where final states are kept."""
+    """Add to a transaction the move of a job's record to the final states; returns the transaction."""
     over = job.over(status, done, at_us)
     return txn.guard(LIVE + job.id, job.version).remove(LIVE + job.id).put(OVER + job.id, over)
 
 
 def put_job(kernel: Kernel, cluster_state: ClusterState, txn: Txn, job: Job, fold: JobFold) -> bool:
-    """Add a job's change to a transaction; says whether the job is done with it."""
+    """Add the changes of a job's record to a transaction; returns whether they complete the job."""
     if completes_job(cluster_state, job, fold):
         end_job(txn, job, "done", job.spec.tasks, kernel.wall_us)
         return True
@@ -220,9 +230,9 @@
 
 
 def completes_job(cluster_state: ClusterState, job: Job, fold: JobFold) -> bool:
-    """Whether all tasks of a job are done.
+    """Return whether all tasks of a job are done, including those that the fold adds.
 
-    Tasks once done stay done, so a late cluster state can only make a job end later.
+    Completed tasks stay completed, so an outdated cluster state can only make a job end later.
     """
     if job.spec.kind == "service":
         return False
@@ -232,21 +242,21 @@
 
 
 def ends_later(job: Job, limits: Limits) -> bool:
-    """Whether a job counts as done once its groups say so, though its record is moved only later.
+    """Return whether a job counts as done once the group records say so, while its own record is moved later.
 
-    Moving it costs two changes, and for nothing but tidiness.  A cancellation meanwhile has to guard the groups with
+    Moving the record costs two writes, which can wait.  Until then a cancellation has to guard the groups that have
     the job's tasks, so the job must be small enough for that.
     """
     return job.spec.kind != "service" and job.spec.tasks <= most_later(limits)
 
 
 def most_later(limits: Limits) -> int:
-    """Of how many tasks such a job may be."""
+    """Return how many tasks a job may have at most if its record is moved later."""
     return min(MOST_LATER, limits.least_guards - 2)
 
 
 class Fold:
-    """One transaction that folds as much as fits of what is known of some machines."""
+    """One transaction that writes as many reports of some machines as fit into their records."""
 
     def __init__(self, kernel: Kernel, cluster_state: ClusterState, limits: Limits) -> None:
         self.kernel = kernel
@@ -255,28 +265,29 @@
         self.jobs: dict[str, JobFold] = {}
         self.lines: list[str] = []
         self.unchanged: set[str] = set()
-        """Machines whose reports say nothing that their records do not."""
+        """Machines whose reports add nothing to their records."""
         self.taken: set[str] = set()
+        """Machines whose reports are part of this transaction."""
         self.freed: dict[str, tuple[float, float, float]] = {}
-        """The room that light folds free, by machine."""
+        """The CPUs, GPUs and GB of memory that light folds free on each machine."""
         self.edits: dict[str, GroupEdit] = {}
         self._ops = 0
         self._bytes = 0
         self._sizes: dict[str, int] = {}
 
     def add(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
-        """Fold the reports of some of a group's machines, as far as there is room for the changes."""
+        """Fold the reports of some of a group's machines, as far as the changes fit into the transaction."""
         edit = GroupEdit(group)
         for name, machine, machine_evidence in self._with_reports(group, names, evidence):
             for force_spill in (False, True):
-                # Where what completed would make the record too large, it goes into the jobs' own.
+                # If completed tasks would make the group's record too large, they go into the jobs' own records.
                 spills = force_spill or self._nearly_full(group)
                 record = edit.copy_of(name)
                 job_folds: dict[str, JobFold] = {}
                 if not fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds):
                     self.unchanged.add(name)
                     break
-                # A job that ends may cost two changes: more than a transaction takes are folded in turns.
+                # A job that ends may cost two operations.  Jobs that do not fit into one transaction come later.
                 costly = [job_id for job_id, fold in job_folds.items() if self._extra_ops(job_id, fold, edit, spills)]
                 deferred = set(costly[max((self.limits.ops - 1) // 2, 1) :])
                 if deferred:
@@ -296,7 +307,7 @@
                 break
 
     def add_light(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
-        """Fold those reports that change their group's record only."""
+        """Fold the reports that change only the group's record, not that of any job."""
         edit = GroupEdit(group)
         for name, machine, machine_evidence in self._with_reports(group, names, evidence):
             record = edit.copy_of(name)
@@ -322,7 +333,7 @@
     def _with_reports(
         self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]
     ) -> Iterator[tuple[str, Machine, Evidence]]:
-        """The machines with something to fold; none of a group that is being moved, for its record is not written."""
+        """Yield the machines with a report to fold; none while the group is split, when its record is not written."""
         if group.moving:
             return
         for name in sorted(names):
@@ -333,14 +344,14 @@
                 yield name, machine, machine_evidence
 
     def _size(self, group: Group) -> int:
-        """What a group's record will take, so far."""
+        """Return the bytes of a group's record with what was folded into it so far."""
         return self._sizes.get(group.key, group.size)
 
     def _nearly_full(self, group: Group) -> bool:
         return self._size(group) > self.limits.value_bytes * SPILL_SHARE
 
     def _size_after(self, edit: GroupEdit, machine: Machine, record: MachineRecord, folds: dict[str, JobFold]) -> int:
-        """What a group's record takes with one machine's report; while there is room, more rather than less."""
+        """Return the bytes of a group's record with one machine's report, or an upper bound if that fits."""
         done = dict(edit.done)
         upper_bound = (
             self._size(edit.group) + TOKEN_UPDATE_BYTES + sum(len(allocation.tasks) for allocation in record.holds)
@@ -359,7 +370,7 @@
     def _include(
         self, edit: GroupEdit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int
     ) -> None:
-        """Make what a machine's report says a part of this transaction."""
+        """Make one machine's report a part of this transaction."""
         edit.replace(name, record)
         self.edits[edit.group.key] = edit
         self._sizes[edit.group.key] = size
@@ -372,14 +383,17 @@
                 edit.add_done(job_id, fold.finished)
 
     def _extra_ops(self, job_id: str, fold: JobFold, edit: GroupEdit, nearly_full: bool) -> int:
-        """How many more changes a job's part costs; the end of one, its short record and its removal, costs two."""
+        """Return how many more operations a job needs; the end of a job needs two, to write its end and to remove it.
+
+        Marks the fold as spilled where completed tasks have to go into the job's own record.
+        """
         job = self.cluster_state.jobs[job_id]
         combined = JobFold()
         previous = self.jobs.get(job_id)
         if previous is not None:
             combined.add(previous)
         combined.add(fold)
-        # What completed goes into the job's own record, with what the group kept of it, where it fills the group's.
+        # If completed tasks take too much of the group's record, all those that it has go into the job's own record.
         if fold.finished and job.spec.kind != "gang":
             large = len(edit.with_done(job_id, fold.finished)) > self.limits.value_bytes * DONE_SHARE
             fold.spilled = combined.spilled or large or nearly_full
@@ -399,13 +413,13 @@
         return bool(fold.spilled or fold.broken or fold.errors or (fold.successes and job.record.errors))
 
     def end(self, job: Job) -> None:
-        """End a job all of whose tasks are known to be done: their groups may have been folded apart."""
+        """End a job whose tasks are all known to be done, as when several folds wrote the ends of its tasks."""
         if job.id not in self.jobs and self._ops + 2 <= self.limits.ops:
             self._ops += 2
             self.jobs[job.id] = JobFold(ends=True)
 
     def transaction(self) -> Txn | None:
-        """The transaction that writes all that was added; None if there is nothing to write."""
+        """Return the transaction that writes all that was added; None if there is nothing to write."""
         if not self._ops:
             return None
         txn = Txn()
@@ -417,44 +431,47 @@
                     ended.add(job_id)
                     self.lines.append(f"{job_id} is done")
                 elif fold.broken or fold.errors:
-                    self.lines.append(f"{job_id} lost tasks: gang attempt {fold.broken}, errors {fold.errors}")
+                    self.lines.append(
+                        f"{job_id} lost tasks: failed gang attempt {fold.broken}, {fold.errors} task errors"
+                    )
 
         def remains_live(job_id: str) -> bool:
             return self.cluster_state.is_live(job_id) and job_id not in ended
 
         for edit in self.edits.values():
             if not edit.write(txn, self.limits, remains_live):
-                # Its size was worked out before: this is a fault, and must not be tried again and again.
-                raise AssertionError(f"{edit.group.key} grew over its limit")
+                # The size was checked before, so this is a fault of the program, which a retry would only repeat.
+                raise AssertionError(f"the record of {edit.group.key} exceeds its size limit")
         return txn
 
 
 def group_size(kind: MachineType | None, limits: Limits) -> int:
-    """How many machines of a type share a record: as many as a value holds with the holds that they may take.
+    """Return how many machines of a type share a record: as many as fit into a value with their likely allocations.
 
-    Fewer, larger groups mean fewer changes, for a placement or a fold costs one for each group.
+    Fewer and larger groups need fewer writes, because a placement or a fold costs one write for each group.
     """
     allocations = max(kind.gpus / 2, kind.cpus / CPUS_PER_ALLOCATION, 1.0) if kind is not None else 1.0
     machine_bytes, allocation_bytes = FULL_FORM_BYTES
     if limits.lean:
-        # One that fills up is split: it need not be small from the start.
+        # A group that fills up is split, so it need not be small from the start.
         machine_bytes, allocation_bytes, allocations = *COMPACT_FORM_BYTES, max(allocations / 2, 1.0)
     fits = int(limits.value_bytes * GROUP_SHARE / (machine_bytes + allocations * allocation_bytes))
     return max(min(fits, MAX_GROUP_MACHINES), 1)
 
 
 def most_group_size(limits: Limits) -> int:
-    """How many machines a record can be given at most, by the least value that is to come."""
+    """Return how many machines a record can have at most under the lowest value size limit to come."""
     return int(limits.least_value_bytes * FULL_SHARE / NEW_MACHINE_BYTES) + 1
 
 
 def adoption(
     cluster_state: ClusterState, unknown_machines: dict[str, Report], fixed_size: int | None, limits: Limits
 ) -> tuple[Txn, list[str]]:
-    """Add unknown machines of one type and zone to groups that have room, or to new ones.
+    """Return the transaction that adds unknown machines of one type and zone to groups, and the machines it adds.
 
-    The version of their type's key is guarded and raised: who passes has seen all earlier adoptions, so no machine
-    gets into two groups.
+    Groups that are not full come first, then new groups.  The transaction guards and raises the version of a key of
+    the machines' type and zone.  It succeeds only if the cluster state has all earlier adoptions, so no machine gets
+    into two groups.
     """
     first = next(iter(unknown_machines.values()))
     max_machines = fixed_size or group_size(cluster_state.types.get(first.type), limits)
--- a/ashtray/workers/messages.py
+++ b/ashtray/workers/messages.py
@@ -1,6 +1,6 @@
-"""Messages between controllers and workers: reports in, tokens and orders out.
+"""Messages between controllers and workers: reports come in, tokens and orders go out.
 
-The fields of `Hello` and `PieceState`, and the keys of orders, are the protocol's words.
+The fields of `WireReport` and `WireTaskState` and the keys of orders have the names that the protocol defines.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 U64 = Annotated[int, msgspec.Meta(ge=0)]
 _TASK = re.compile(r"(job-[0-9]{1,60})/([0-9]{1,6})")
 TASK_NAME_CACHE_SIZE = 16_384
-"""Names of tasks that are not read anew: some hundred machines' worth."""
+"""How many parsed task names are cached: those of some hundred machines."""
 
 
 class WireTaskState(msgspec.Struct):
-    """What a report says of one task, in the words of the protocol."""
+    """The state of one task as it stands in a report, with the field names of the protocol."""
 
     piece: str
     attempt: U64 = msgspec.field(name="try")
@@ -30,7 +30,7 @@
 
 
 class WireReport(msgspec.Struct):
-    """A worker's report, in the words of the protocol."""
+    """A worker's report as it is received, with the field names of the protocol."""
 
     berth: Annotated[str, msgspec.Meta(min_length=1, max_length=100, pattern="^[!-~]+$")]
     endpoint: Annotated[str, msgspec.Meta(max_length=100)]
@@ -45,7 +45,7 @@
 
 
 class TaskState(msgspec.Struct):
-    """What a worker says of one task."""
+    """The state of one task as its worker reports it."""
 
     state: str
     cause: str | None
@@ -56,7 +56,7 @@
 
 
 class Report(msgspec.Struct):
-    """A checked report of the worker on one machine."""
+    """A validated report of the worker on one machine."""
 
     machine: str
     address: str
@@ -64,28 +64,28 @@
     zone: str
     spot: bool
     session: int
-    """Starts at 1, and grows each time the worker's lease expires."""
+    """Starts at 1 and is increased each time the worker's lease expires."""
     tick: int
-    """Grows with each report and each answer to a controller's request: of one session the larger is the newer."""
+    """Increases with each report and each answer to a controller's request: within a session the larger is newer."""
     token: int
     """The highest ownership token that the worker has seen."""
     notice_us: int | None
-    """In how many microseconds the cloud takes the machine away; None: it has given no notice."""
+    """Microseconds until the cloud takes the machine away; None if it has given no notice."""
     tasks: dict[TaskKey, TaskState]
 
 
 @lru_cache(TASK_NAME_CACHE_SIZE)
 def parse_task(name: str) -> tuple[str, int] | None:
-    """The job and the number of a task by its name on the wire; None if it is no name of a task.
+    """Return the job and the task number that a task name on the wire stands for; None if it is not a task name.
 
-    A worker names its tasks in each report, again and again.
+    Results are cached, because a worker names the same tasks in each report.
     """
     match = _TASK.fullmatch(name)
     return None if match is None else (match[1], int(match[2]))
 
 
 def parse_report(body: Any) -> Report | None:
-    """Check a decoded report; None when it is malformed."""
+    """Validate a decoded report; returns None if it is malformed."""
     try:
         wire_report = msgspec.convert(body, WireReport)
     except msgspec.ValidationError:
@@ -117,26 +117,29 @@
 
 
 def kill(key: TaskKey, grace_us: int) -> dict[str, Any]:
-    """Return the order to stop a task, which gets `grace_us` microseconds to save."""
+    """Return the order to stop a task, which gets `grace_us` microseconds to save a checkpoint."""
     return {"verb": "kill", "piece": f"{key[0]}/{key[2]}", "try": key[1], "wind_down_s": grace_us / SECOND_US}
 
 
 def clear(key: TaskKey) -> dict[str, Any]:
-    """Return the order to leave a task that has ended out of the reports."""
+    """Return the order to leave an ended task out of future reports."""
     return {"verb": "clear", "piece": f"{key[0]}/{key[2]}", "try": key[1]}
 
 
 def orders_body(token: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return a direct command; a worker executes it only in this session, and if it has seen no higher token."""
+    """Return a direct message with orders.
+
+    The worker executes it only in this session, and only if it has seen no higher token.
+    """
     return {"baton": token, "shift": session, "orders": orders}
 
 
 def report_answer(token: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return the answer to a report, with the orders that its worker is to carry out."""
+    """Return the answer to a report, with the orders for its worker."""
     return {"baton": token, "orders": orders}
 
 
 def task_of(order: dict[str, Any]) -> TaskKey | None:
-    """The task that an order launches or kills; None for a `clear`."""
+    """Return the task that an order launches or kills; None for a `clear`."""
     task = parse_task(order["piece"])
     return None if task is None or order["verb"] == "clear" else (task[0], order["try"], task[1])
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -1,9 +1,10 @@
-"""Sends orders straight to workers, and makes those void that get no answer.
+"""Sends orders directly to workers, and makes orders void that get no answer.
 
-An order without an answer may be executed at any later time, as long as the worker knows no higher token (safety
-point 4 in `docs/design.md`).  So a higher token is claimed at once.  The worker learns of it with the answer to its
-next report, and before a cancellation is confirmed by a message that launches nothing: a worker that has taken it
-executes nothing older.  Until a report shows that it has, nothing of the worker is freed.
+A worker may execute an unanswered order at any later time, as long as it knows no higher token (safety point 4 in
+`docs/design.md`).  Therefore the controller claims the worker with a higher token at once.  The worker learns the
+token from the answer to its next report or, before a cancellation is confirmed, from a direct message that launches
+nothing.  From then on it executes no orders with an older token.  Until a report shows that the worker has the new
+token, no resources on its machine are freed.
 """
 
 from __future__ import annotations
@@ -19,23 +20,23 @@
 from ashtray.workers.worker import OutstandingOrders, Worker
 
 ANSWER_TIMEOUT_US = 1_500_000
-"""How long an order waits for its answer."""
+"""How long an answer to a direct message with orders is waited for."""
 DIRECT_BACKOFF_US = 10 * SECOND_US
-"""For so long after an order without an answer the next ones go out in answers to reports."""
+"""For how long after a direct message that failed orders go out in answers to reports instead."""
 SETTLE_GRACE_US = 50_000
-"""For so long a cancellation waits for answers to what is underway, before that is made void."""
+"""How long a cancellation waits for answers to outstanding orders before it makes them void."""
 SETTLE_TIMEOUT_US = 250_000
-"""A cancellation waits no longer than this until nothing of its job can start here any more."""
+"""How long a cancellation waits at most until no task of its job can start on the workers that report here."""
 UNOWNED_TIMEOUT_US = 100_000
-"""How long a machine that does not report here has for each answer."""
+"""How long each answer of a machine that does not report here is waited for."""
 VOID_TIMEOUT_US = 250_000
-"""A cancellation waits no longer than this for the machines that no controller answers for."""
+"""How long a cancellation waits at most for the machines that no controller answers for."""
 MAX_MACHINES_TO_VOID = 32
-"""So many of them are asked for each cancellation."""
+"""How many of these machines are contacted for one cancellation."""
 
 
 class OrderDelivery:
-    """Sends orders to workers, one message to each at a time."""
+    """Sends orders directly to workers, at most one message with orders to each at a time."""
 
     def __init__(
         self,
@@ -44,17 +45,17 @@
         next_token: Callable[[int], int],
         on_answer: Callable[[Worker, Report], None],
     ) -> None:
-        """`next_token` returns a new token above another; `heard` takes the report in an order's answer."""
+        """`next_token` returns a new token above the given one; `on_answer` takes the report in an order's answer."""
         self.base = base
         self.kernel = base.kernel
         self.workers = workers
         self._next_token = next_token
         self._on_answer = on_answer
         self.worker_updated = Signal()
-        """Fired when something was learnt of a worker."""
+        """Fired when the state of a worker has changed."""
 
     def deliver(self, worker: Worker, orders: list[dict[str, Any]]) -> Fiber[None]:
-        """Send orders to a worker and take its answer; without one, make the orders void."""
+        """Send orders to a worker and process its answer; if there is none, make the orders void."""
         report = worker.report
         assert report is not None
         token = worker.token
@@ -66,17 +67,17 @@
         reply: Reply = yield Call(report.address, "POST", "/orders", body, ANSWER_TIMEOUT_US)
         worker.in_flight = False
         if reply.refused or reply.status in (200, 409):
-            # Executed, or never to be.
+            # The orders were executed, or never will be.
             worker.outstanding = None
         if self._take_answer(worker, reply):
             return
         if not reply.refused and worker.token == token:
-            # Safety point 4: a new token makes them void before anything that they name is freed or placed anew.
+            # Safety point 4: a new token makes the orders void before any task they name is freed or placed again.
             self._raise_token(worker)
         worker.direct_backoff_until_us = self.kernel.now_us + DIRECT_BACKOFF_US
 
     def _take_answer(self, worker: Worker, reply: Reply) -> bool:
-        """Take the worker's report if the reply holds it; says whether it does."""
+        """Process the worker's report if the reply contains one; returns whether it does."""
         report = messages.parse_report(reply.body) if reply.status in (200, 409) else None
         if report is None or report.machine != worker.name:
             return False
@@ -87,11 +88,15 @@
         return True
 
     def _raise_token(self, worker: Worker) -> None:
+        """Claim a worker with a higher token; once the worker knows it, all orders sent before are void."""
         worker.token = self._next_token(worker.token)
         worker.token_confirmed = False
 
     def _announce_token(self, worker: Worker) -> Fiber[None]:
-        """Tell a worker the token that it is claimed with, once: one that hears nothing must not cost a stream."""
+        """Announce its current token to a worker, once for each token.
+
+        Otherwise a worker that receives nothing would be sent message after message.
+        """
         report, token = worker.report, worker.token
         if worker.token_confirmed or report is None or worker.announced_token == token:
             return
@@ -102,24 +107,28 @@
             self._take_answer(worker, reply)
 
     def _kills_for_worker(self, worker: Worker, report: Report) -> list[dict[str, Any]]:
-        """Orders that end what is over: whoever knows that may give them, also without the token in the record."""
+        """Return orders that kill tasks of jobs that are over, both reported tasks and those in outstanding orders.
+
+        Any controller that knows that a job is over may give such orders, even if the machine's record does not have
+        its token.
+        """
         keys: dict[TaskKey, None] = {key: None for key, seen in report.tasks.items() if seen.state != "ended"}
         if worker.outstanding is not None:
             keys.update(dict.fromkeys(sorted(worker.outstanding.tasks)))
         return self._kills_of_ended_jobs(keys)
 
     def kills_for(self, report: Report) -> list[dict[str, Any]]:
-        """Orders that end what a report lists of jobs that are over."""
+        """Return orders that kill the tasks in a report whose jobs are over."""
         return self._kills_of_ended_jobs(key for key, seen in report.tasks.items() if seen.state != "ended")
 
     def _kills_of_ended_jobs(self, keys: Iterable[TaskKey]) -> list[dict[str, Any]]:
         return [messages.kill(key, 0) for key in keys if self.base.cluster_state.is_over(key[0])]
 
     def settle(self, cancelled: Iterable[str]) -> Fiber[list[str]]:
-        """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_US` at most.
+        """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_TIMEOUT_US` at most.
 
-        Kills are on their way by then.  What has no answer within `GRACE_US` is made void by a higher token.  Returns
-        the machines with places of these jobs that report here.
+        Kills are on their way by then.  Orders without an answer within `SETTLE_GRACE_US` are made void by a higher
+        token.  Returns the machines with allocations of these jobs that report here.
         """
         job_ids = frozenset(cancelled)
         names = sorted(set().union(*(self._machines_of(job_id) for job_id in job_ids)))
@@ -128,16 +137,17 @@
         yield from self._wait_until_none_may_start(owned, job_ids, self.kernel.now_us + SETTLE_GRACE_US)
         for worker in owned:
             if worker.token_confirmed and worker.may_start(job_ids):
-                # Safety point 4: what is underway may still start a task, and must not after the confirmation.
+                # Safety point 4: outstanding orders must not start a task after the confirmation.
                 self._raise_token(worker)
             self.kernel.spawn(self._announce_token(worker))
         yield from self._wait_until_none_may_start(owned, job_ids, until_us)
         return [worker.name for worker in owned]
 
     def void_elsewhere(self, job_id: str, settled: set[str]) -> Fiber[None]:
-        """Make void what may be on its way to a cancelled job's machines that no controller answers for.
+        """Make void any orders under way to a cancelled job's machines that no controller answers for.
 
-        Their owner has ended, stands still, or has not heard them yet.  Returns after `ELSEWHERE_US` at most.
+        The owner of such a machine has ended, is stalled, or has not received a report from it yet.  `settled` are
+        the machines that controllers answered for.  Returns after `VOID_TIMEOUT_US` at most.
         """
         names = sorted(self._machines_of(job_id) - settled)[:MAX_MACHINES_TO_VOID]
         pending, until_us = set(names), self.kernel.now_us + VOID_TIMEOUT_US
@@ -147,10 +157,11 @@
             yield Wait(self.worker_updated, until_us - self.kernel.now_us)
 
     def _machines_of(self, job_id: str) -> set[str]:
-        """The machines that have places of a job."""
+        """Return the machines with allocations of a job."""
         return {name for name, _ in self.base.cluster_state.allocations.get(job_id, ())}
 
     def _void_on_machine(self, name: str, job_id: str, pending: set[str]) -> Fiber[None]:
+        """Make orders to one machine void if its worker is not claimed here; removes it from `pending` when done."""
         worker, machine = self.workers.get(name), self.base.cluster_state.machines.get(name)
         if machine is not None and (worker is None or not worker.token):
             yield from self._void_unowned(machine, job_id)
@@ -158,17 +169,17 @@
         self.kernel.fire(self.worker_updated)
 
     def _void_unowned(self, machine: Machine, job_id: str) -> Fiber[None]:
-        """Give a machine that does not report here a higher token, unless all of a job's tasks have started there.
+        """Announce a higher token to a machine that does not report here, unless all its tasks of a job have started.
 
-        Whoever it reports to claims it anew.
+        The controller that it reports to then claims it with a still higher token.
         """
         address = machine.record.address
-        # A message that is refused for its token tells the session, which the record does not.
+        # The answer that refuses this message for its token contains the session, which the record does not.
         reply: Reply = yield Call(address, "POST", "/orders", messages.orders_body(0, 0, []), UNOWNED_TIMEOUT_US)
         report = messages.parse_report(reply.body) if reply.status in (200, 409) else None
         if report is None or report.machine != machine.name or all_started(machine, job_id, report):
             return
-        # Safety point 4: whatever an owner before has sent is void once the machine has seen this token.
+        # Safety point 4: orders of a previous owner are void once the machine has seen this token.
         token = self._next_token(max(report.token, machine.record.token))
         body = messages.orders_body(token, report.session, self.kills_for(report))
         yield Call(address, "POST", "/orders", body, UNOWNED_TIMEOUT_US)
@@ -176,7 +187,7 @@
     def _wait_until_none_may_start(
         self, workers: list[Worker], job_ids: frozenset[str], until_us: int
     ) -> Fiber[None]:
-        """Wait until none of these workers can start a task of these jobs."""
+        """Wait until none of these workers can start a task of these jobs, until `until_us` at most."""
         while True:
             workers = [worker for worker in workers if not worker.token_confirmed or worker.may_start(job_ids)]
             left_us = until_us - self.kernel.now_us
@@ -186,7 +197,7 @@
 
 
 def all_started(machine: Machine, job_id: str, report: Report) -> bool:
-    """Whether all of a job's tasks that have a place on a machine have started there, by its report."""
+    """Return whether all of a job's tasks that are allocated on a machine have started there, by its report."""
     keys = [
         (allocation.job, allocation.attempt, task)
         for allocation in machine.holds
@@ -197,7 +208,7 @@
 
 
 def note_outstanding(worker: Worker, orders: list[dict[str, Any]]) -> None:
-    """Remember which tasks the orders name that go out to a worker now."""
+    """Remember which tasks are named by orders that are now sent to a worker."""
     report = worker.report
     tasks = frozenset(key for order in orders if (key := messages.task_of(order)) is not None)
     if report is not None and tasks:
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -1,8 +1,8 @@
-"""Splitting groups whose records are too large, before lower limits of the state service come or after.
+"""Splitting groups whose records exceed the state service's limits, or will exceed the lower limits to come.
 
 Another version, or other settings, may have written records up to a limit that no longer holds.  Such a record can
-be read and removed, but not written: not even a smaller one, as long as what remains is too large.  Until it is split
-nothing on its machines can be freed, taken over by another owner or returned.
+be read and removed, but it cannot be replaced by a smaller one that is still too large.  Until it is split, no
+allocation on its machines can be freed, and none of its machines can get another owner or be returned.
 """
 
 from __future__ import annotations
@@ -22,24 +22,27 @@
 from ashtray.workers.folding import FULL_SHARE, group_size
 
 CHECK_INTERVAL_US = SECOND_US // 4
-"""The pause between two looks for groups to be split, in microseconds."""
+"""The pause between two checks for groups to be split."""
 MAX_KEYS_TRIED = 200
-"""So many keys are tried for a new group that this controller is to look after."""
+"""How many keys are tried for a new group to find one that this controller is responsible for."""
 SPLIT_SHARE = 0.8
-"""A group that takes more of a value is split: nothing more is placed there, and there is to be room to fold."""
+"""A group that takes more than this part of the value size limit is split.
+
+No tasks are placed on so large a group, and reports must still fit when they are folded into it.
+"""
 RUNS_SHARE = 0.5
-"""Of a value, what one job's completed tasks may take of a record: more is written in parts."""
+"""The part of the value size limit that one job's completed tasks may take in a record; more is written in parts."""
 
 
 @dataclass
 class GroupPart:
-    """What of a group goes into one new record."""
+    """The part of a group that goes into one new record."""
 
     group: Group
     machines: dict[str, Any] = field(default_factory=dict)
-    """By name, each machine's part of the group's record in full form."""
+    """Each machine's part of the group's record by name, in full form."""
     done: dict[str, str] = field(default_factory=dict)
-    """For each job its completed tasks, as runs."""
+    """The completed tasks of each job, as runs."""
 
     def value(self) -> dict[str, Any]:
         """Return the new record, in compact form."""
@@ -50,7 +53,7 @@
 
 
 def _done_parts(job_id: str, tasks: set[int], max_bytes: int) -> list[str]:
-    """Return a job's completed tasks as texts of runs, each of `most` bytes at the most or of one run."""
+    """Return a job's completed tasks as texts of runs, each of at most `max_bytes` or of a single run."""
     texts: list[str] = []
     text: list[str] = []
     size = 0
@@ -64,9 +67,10 @@
 
 
 def parts_of_group(cluster_state: ClusterState, group: Group, limits: Limits) -> list[GroupPart]:
-    """Return a group cut into what fits: first the completed tasks, job by job, then its machines by name.
+    """Return a group cut into parts that fit: first the completed tasks, job by job, then its machines by name.
 
-    A machine that is too large by itself gets a record of its own, to be written once enough of it has ended.
+    A machine that is too large by itself gets a record of its own, which is written once enough of its tasks have
+    ended.
     """
     parts = [GroupPart(group)]
     _cut_done(parts, cluster_state, limits)
@@ -75,7 +79,7 @@
 
 
 def _cut_done(parts: list[GroupPart], cluster_state: ClusterState, limits: Limits) -> None:
-    """Add the completed tasks of live jobs that have not moved yet to the last piece, and to new ones after it."""
+    """Add the completed tasks of live jobs that were not moved yet to the last part, and to new parts after it."""
     group = parts[-1].group
     max_bytes = int(limits.value_bytes * FULL_SHARE)
     max_job_bytes = int(limits.value_bytes * RUNS_SHARE)
@@ -93,7 +97,7 @@
 
 
 def _cut_machines(parts: list[GroupPart], cluster_state: ClusterState, limits: Limits) -> None:
-    """Add the machines to the last piece, and to new ones after it."""
+    """Add the machines to the last part, and to new parts after it."""
     group = parts[-1].group
     max_bytes = int(limits.value_bytes * FULL_SHARE)
     count = group_size(cluster_state.types.get(group.type), limits)
@@ -107,22 +111,23 @@
 
 
 def split_progress(moved: list[GroupPart], remaining: list[GroupPart], previous: tuple[str, str]) -> dict[str, str]:
-    """Return the record that says how far a group is split once the pieces `moved` have records of their own.
+    """Return the record that says how far a group is split once the parts `moved` have records of their own.
 
-    `rest` are the pieces still to come, and `known` is the machine and the job up to which it has been split so far.
+    `remaining` are the parts that follow, and `previous` is the machine and the job up to which the group has been
+    split so far.
     """
     machines = [name for part in moved for name in part.machines]
     jobs = [job_id for part in moved for job_id in part.done]
     previous_machine, previous_job = previous
     last_job = max(jobs, default=previous_job)
     if not machines and remaining and last_job in remaining[0].done:
-        # The rest of this job's completed tasks comes with the next step: what is said twice stays true.
+        # The next step moves the rest of this job's completed tasks.  Tasks that both records list do no harm.
         last_job = max((job for job in jobs if job != last_job), default=previous_job)
     return {"machine": max(machines, default=previous_machine), "job": last_job}
 
 
 class Splitter:
-    """Splits the groups that this controller looks after."""
+    """Splits the groups that this controller is responsible for."""
 
     def __init__(self, base: Base, presence: Presence) -> None:
         self.base = base
@@ -130,7 +135,7 @@
         self.presence = presence
 
     def run(self) -> Fiber[None]:
-        """Split the groups that are due once, then wait for `LOOK_US`."""
+        """Split all groups that need it once, then wait for `CHECK_INTERVAL_US`."""
         base = self.base
         if not base.limits.lean or not base.follower.loaded or not self.presence.incarnation:
             yield Sleep(CHECK_INTERVAL_US)
@@ -141,7 +146,7 @@
             def build(key: str = group.key) -> Txn | None:
                 return self.split(key)
 
-            # Nothing else can be done with its machines meanwhile.
+            # The write is urgent because nothing else can be done with the group's machines until it is split.
             if (yield from base.follower.commit(build, number, Urgency.CANCEL, "split")):
                 self.kernel.log("info", f"{group.key} ({group.size} bytes) is split")
             elif not (yield from base.follower.barrier()):
@@ -149,7 +154,7 @@
         yield Sleep(CHECK_INTERVAL_US)
 
     def due(self) -> list[Group]:
-        """Return the groups to be split, those begun first, then the largest."""
+        """Return the groups to be split: first those whose splitting has begun, then the largest."""
         base = self.base
         max_bytes = base.limits.value_bytes * SPLIT_SHARE
         groups = []
@@ -160,9 +165,9 @@
         return sorted(groups, key=lambda group: (not group.moving, -group.size))
 
     def _new_group_key(self, base: str, taken: set[str]) -> str:
-        """Return the key of a new group, such that its workers stay with this controller if possible.
+        """Return the key of a new group, if possible one that this controller is responsible for.
 
-        Another one would have to take over each of them.
+        Otherwise another controller would have to take over each of the group's workers.
         """
         presence, cluster_state = self.presence, self.base.cluster_state
         key = base
@@ -175,12 +180,12 @@
         return key
 
     def split(self, key: str) -> Txn | None:
-        """Return one step: all at once where a transaction takes it, else as many machines as it takes.
+        """Return the transaction of one step, which moves the whole group or as many machines as a transaction takes.
 
-        In the latter case another record says up to which machine that is; the old one stays as it is until it can be
-        removed.  Machines that were moved count in their new groups only.  See `docs/design.md`, safety, point 16.
-        None: there is nothing to be split, or a machine is too large alone and has to wait until enough has ended on
-        it.
+        In the latter case another record says up to which machine the group is split, and the old record stays as it
+        is until it can be removed.  Machines that were moved count in their new groups only.  See `docs/design.md`,
+        safety, point 16.  Returns None if there is nothing to split, or if a machine is too large by itself, so that
+        splitting has to wait until enough of its tasks have ended.
         """
         cluster_state, limits = self.base.cluster_state, self.base.limits
         group = cluster_state.groups.get(key)
@@ -193,11 +198,11 @@
         return txn
 
     def _change_old_record(self, txn: Txn, group: Group, parts: list[GroupPart]) -> list[GroupPart] | None:
-        """Add what becomes of the old record; returns the pieces for new ones, None if it would be too large."""
+        """Add the change of the old record; returns the parts for new records, None if the old would be too large."""
         cluster_state, limits = self.base.cluster_state, self.base.limits
         lock = split_key(group.key)
         if not group.moving and len(parts) <= limits.ops:
-            # The record keeps the last piece; in compact form that may be all of it.
+            # The record keeps the last part; in compact form that may be the whole group.
             *moved, last = parts
             txn.guard(lock, 0).put(group.key, last.value())
             return moved if _may_be_written(last, limits) else None
@@ -212,7 +217,7 @@
         return moved
 
     def _add_new_records(self, txn: Txn, group: Group, moved: list[GroupPart]) -> bool:
-        """Add new groups for these pieces; False if one of them is too large."""
+        """Add new groups for these parts; returns False if one of them is too large."""
         base = f"{GROUP}{group.type}.{group.zone}."
         taken: set[str] = set()
         for part in moved:
--- a/ashtray/workers/worker.py
+++ b/ashtray/workers/worker.py
@@ -1,4 +1,4 @@
-"""What a controller keeps of one worker."""
+"""The state that a controller keeps for each worker that reports to it."""
 
 from __future__ import annotations
 
@@ -11,55 +11,63 @@
 
 @dataclass(frozen=True)
 class OutstandingOrders:
-    """Launches and kills that have gone out, and that the worker may still execute."""
+    """Launches and kills that were sent to a worker and that it may still execute."""
 
     token: int
     session: int
     tasks: frozenset[TaskKey]
-    """The tasks that they name."""
+    """The tasks that the orders name."""
 
     def superseded_by(self, report: Report) -> bool:
-        """Whether a worker that has made this report does not execute them any more."""
+        """Return whether the worker that sent this report can no longer execute these orders."""
         return report.token > self.token or report.session > self.session
 
 
 @dataclass
 class Worker:
-    """What this controller knows of a worker at first hand."""
+    """What this controller knows about a worker from the worker's own reports and answers."""
 
     name: str
     token: int = 0
-    """The token that this controller claims the worker with; 0: it does not."""
+    """The ownership token with which this controller claims the worker; 0 if it does not claim the worker."""
     token_confirmed: bool = False
-    """Whether the newest report carries that token."""
+    """Whether the newest report carries `token`."""
     report: Report | None = None
+    """The newest report; None if there is none yet or the worker was redirected."""
     newest: tuple[int, int] = (0, -1)
-    """Session and tick of the newest report that came, also of one that was sent on to another controller."""
+    """Session and tick of the newest report received, including redirected reports."""
     heard_us: int = 0
+    """When the worker last reported here in a way that shows that it also receives answers (safety point 28)."""
     redirected_us: int = -(10**15)
+    """When a report was last answered with a redirect to another controller."""
     keep_until_us: int = 0
+    """Until then the worker is not redirected to the controller that is responsible for its group."""
     reconciling: bool = False
+    """Whether a coroutine is sending orders to the worker."""
     reconcile_again: bool = False
+    """Whether something has changed since that coroutine last computed orders."""
     in_flight: bool = False
-    """Orders sent directly have no answer yet."""
+    """Whether orders were sent directly and have no answer yet."""
     outstanding: OutstandingOrders | None = None
     announced_token: int = 0
-    """The last token that it was told of directly."""
+    """The last token that was announced to the worker in a direct message."""
     direct_backoff_until_us: int = 0
+    """Until then orders go out only in answers to reports, because a direct message got no answer."""
     answered_report: tuple[int, int] | None = None
-    """Orders went out in the answer to this report: nothing is told directly until a later report."""
+    """Session and tick of the report whose answer carried orders; no direct orders are sent until a later report."""
     terminates_us: int | None = None
+    """When the cloud takes the machine away, if it has given notice."""
     in_sync: tuple[Machine, Report] | None = None
-    """The record and the report that agreed when they were last compared."""
+    """The machine's record and the report that needed no orders when they were last compared."""
     in_sync_and_folded: tuple[Machine, Report] | None = None
-    """The same where there was nothing to fold either."""
+    """The same, if there was nothing to fold either."""
     running_since_us: dict[TaskKey, int] = field(default_factory=dict)
-    """When its tasks were first seen running, those that were not before."""
+    """When each task was first reported as running, for tasks that an earlier report showed not yet running."""
     clears: list[dict[str, Any]] = field(default_factory=list)
-    """Ended tasks that may be forgotten: told with the next answer, for nothing waits for that."""
+    """Orders to forget ended tasks. They go out with the next answer, because nothing waits for them."""
 
     def may_start(self, job_ids: frozenset[str]) -> bool:
-        """Whether a task of these jobs may still start here: it fetches its image, or an order for it is underway."""
+        """Return whether a task of these jobs may still start: its image is being fetched or its orders are out."""
         if self.outstanding is not None and any(key[0] in job_ids for key in self.outstanding.tasks):
             return True
         tasks = self.report.tasks if self.report is not None else {}
