--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -1,4 +1,7 @@
-"""The desk where workers report: who owns them, what they are told and what is learnt from them."""
+"""Handling of workers' reports: ownership of workers, orders to them, and writing what they report.
+
+A *fold* is the transaction that writes what workers reported into the records of their groups.
+"""
 
 from __future__ import annotations
 
@@ -20,26 +23,34 @@
 from ashtray.workers.worker import Worker
 
 TOKEN_SHIFT = 40
+"""The bits of an ownership token below its counter, which hold the incarnation of the process that issued it."""
 FOLD_DELAY_US = 150_000
 SCARCE_FOLD_DELAY_US = 500_000
+"""How long a fold waits for more reports to write together, and the same while the write budget is scarce."""
 MAX_FOLD_INTERVAL_US = 1_700_000
 SCARCE_MAX_FOLD_INTERVAL_US, LOW_SCARCE_MAX_FOLD_INTERVAL_US = 4 * SECOND_US, 20 * SECOND_US
-"""A fold waits no longer for company, the latter when commits wait for their budget.
+"""The longest time between folds that are not urgent; the latter two while the write budget is scarce.
 
-What ends a job, or failed, is folded at once: a job's end is to show within 3 s.
+The ends of jobs and failures are urgent, because a job's end has to be visible within 3 s.
 """
 MAX_TASKS_TO_CHECK, MAX_TIMED_TASKS_TO_CHECK = 40, 400
-"""With more open tasks than these a job is not looked at for its end at each report."""
+"""A job with more unfinished tasks than these is not checked at each report for whether all have ended."""
 TIDY_DELAY_US, SCARCE_TIDY_DELAY_US = 30 * SECOND_US, 240 * SECOND_US
+"""How long moving the records of completed jobs may be put off, and the same while the write budget is scarce."""
 MAX_UNMOVED_JOBS = 300
+"""With so many completed jobs their records are moved even while the write budget is scarce."""
 ADOPTION_DELAY_US = 200_000
+"""How long machines that are in no group wait for others that can be added in the same transaction."""
 KEEP_WORKER_US = 30 * SECOND_US
+"""How long a worker is kept here that comes back after it was redirected."""
 MAX_READ_AGE_US = 3 * SECOND_US
+"""Tasks are launched only if the state service was read within this time."""
 MAX_ORDERS = 400
+"""How many orders go into one message."""
 
 
 class Desk:
-    """Takes the reports of workers, owns workers, gives them orders, and folds what they report into records."""
+    """Takes workers' reports, owns workers, sends them orders, and folds what they report into group records."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, pace: Pace, renewal: RenewalGuard) -> None:
         self.base = base
@@ -53,24 +64,32 @@
         self._counter = 0
         self._fold_signal = Signal()
         self._dirty: dict[str, set[str]] = {}
-        """For each group the machines with something to fold."""
+        """For each group, the machines with something to fold."""
         self._urgent: set[str] = set()
-        """Groups whose fold does not wait for company; the others then wait on, for each costs a change."""
+        """Groups that are folded at once.  The others still wait, because each group costs a write."""
         self._fold_all = False
+        """Whether the next fold takes all groups, not only the urgent ones."""
         self._last_fold: Fold | None = None
         self._last_fold_us = 0
-        """When the last fold was committed, and how many changes it took."""
+        """When the last fold of all groups was committed."""
         self._last_fold_writes = 0
+        """How many writes that fold took."""
         self._failed_folds = 0
+        """How many folds in a row have failed, up to 5."""
         self._completed_us: dict[str, int] = {}
-        """Since when jobs have been known to be done whose records are to be moved."""
+        """For completed jobs whose records are still to be moved, since when they are known to be completed."""
         self._unknown_machines: dict[str, Report] = {}
+        """The reports of machines that are in no group, to be added to one."""
         self._adopt_signal = Signal()
 
     # Reports
 
     def on_report(self, request_id: int, body: Any) -> None:
-        """Answer a report: 200 with a token and orders, 421 to send it elsewhere, 400, or 503 if unable to act."""
+        """Answer a report.
+
+        The status is 200 with a token and orders, 421 with the name of a better controller, 400 for a malformed
+        report, or 503 if this controller cannot act on it.
+        """
         report = parse_report(body)
         if report is None:
             self.kernel.answer(request_id, 400, {"error": "malformed report"})
@@ -82,7 +101,7 @@
         if worker is None:
             worker = self.workers[report.machine] = Worker(report.machine)
         if (report.session, report.tick) <= worker.newest:
-            # A report that was held back on its way, or a copy: its sender gave it up long ago.
+            # A delayed report or a copy, whose sender has given up on its answer.
             self.kernel.answer(request_id, 503, {"error": "old report"})
             return
         worker.newest = report.session, report.tick
@@ -95,24 +114,24 @@
             self.kernel.answer(request_id, 421, {"foreman": foreman})
             return
         if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):
-            # Safety point 5: cancellations may have been confirmed elsewhere that this controller does not know of.
+            # Safety point 5: a peer may have confirmed cancellations that this controller does not know of.
             self.kernel.answer(request_id, 503, {"error": "cut off from the state service"})
             return
         newly_claimed = worker.token == 0
         self._take_report(worker, report)
         if newly_claimed or worker.token_confirmed:
-            # One that goes on without the token that it was given does not hear: its reports come, and no answer or
-            # order reaches it.  It is as good as silent, and is returned like one that is (point 28).
+            # A worker that keeps reporting without its token receives no answers or orders.  It counts as silent, so
+            # its machine is returned like a silent one (point 28).
             worker.heard_us = self.kernel.now_us
-        # An answer that renews the lease also ends what is known to be over, whoever owns the worker: found by the
-        # model test, a new owner that could not sign the record kept a cancelled job's tasks alive.
+        # An answer that renews the lease also kills tasks of jobs known to be over, whoever owns the worker.
+        # Otherwise a new owner that cannot write its token into the record would keep a cancelled job's tasks alive.
         orders = self.delivery.kills_for(report)
         machine = self.base.cluster_state.machines.get(worker.name)
         if machine is None:
-            # Only what reports is added: found on a simulated day, machines just deleted were added again when
-            # their removal was noticed, for their last reports were still known.
+            # A machine is added only when it reports, not when its record disappears.  Otherwise deleted machines are
+            # added again when their removal is noticed, because their last reports are still known.
             if report.token == 0 or worker.token_confirmed:
-                # One that has been owned may be gone by now: only a report with this process's token is no old one.
+                # A machine that was owned before may be gone.  Only a report with this process's token is not old.
                 self._unknown_machines[worker.name] = report
                 self.kernel.fire(self._adopt_signal)
         elif not worker.reconciling and self._owns(worker, machine):
@@ -121,33 +140,38 @@
                 orders = due_orders
                 worker.answered_report = (report.session, report.tick)
                 note_outstanding(worker, due_orders)
-            # A clear needs no such care: the attempt that it ends has no hold, and will never be launched again.
+            # Clears need no such care: their attempts have no allocation and will never be launched again.
             orders = orders + worker.clears
         self.kernel.answer(request_id, 200, messages.report_answer(worker.token, orders[:MAX_ORDERS]))
         self.reconcile(worker)
 
     def _foreman(self, worker: Worker, report: Report) -> str | None:
-        """Another controller that this worker had better report to; a hint, never relied on."""
+        """Return the controller that this worker should report to instead, or None; safety does not depend on it."""
         now = self.kernel.now_us
         if now < worker.keep_until_us:
             return self.peers.better_connected()
         machine = self.base.cluster_state.machines.get(worker.name)
-        # Machines that are new report to one controller for each type, so that one adopts them together.
+        # New machines of a type and zone report to the same controller, which can add them to groups together.
         key = machine.group if machine is not None else f"{report.type}.{report.zone}"
         foreman = self.presence.foreman(key)
         if foreman == self.base.settings.host_name:
             elsewhere = self.peers.given_up(key)
             if elsewhere is not None:
-                # Alone with its workers it sends them on once others tend them: one that is back stays.
+                # A controller cut off from its peers redirects its workers once others own them.  Workers that come
+                # back are kept.
                 worker.keep_until_us = now + KEEP_WORKER_US
             return self.peers.better_connected() or elsewhere
         if SECOND_US // 2 < now - worker.redirected_us < 20 * SECOND_US:
-            # It was sent there a moment ago and is back: it cannot reach that controller.
+            # The worker was redirected there a moment ago and is back, so it cannot reach that controller.
             worker.keep_until_us = now + KEEP_WORKER_US
             return None
         return foreman
 
     def _take_report(self, worker: Worker, report: Report, direct: bool = False) -> None:
+        """Update what is known of a worker from its newest report, and claim it with a new token where needed.
+
+        `direct` says that the report came in the answer to a direct order.
+        """
         stale_fold = self._stale_fold_possible(worker, report)
         self._observe_tasks(worker, report)
         worker.report = report
@@ -155,8 +179,8 @@
             return
         machine = self.base.cluster_state.machines.get(worker.name)
         recorded_token = machine.record.token if machine is not None else 0
-        # A machine that ended and is back has forgotten its token, and a controller that has started since knows of
-        # none: one below the record's could never be signed, and what the machine holds would stand for ever (3).
+        # A restarted machine has forgotten its token, and a restarted controller knows of none.  A token below that
+        # in the record could never be written there, and the machine's allocations would never be freed (point 3).
         if worker.token == 0 or stale_fold or max(report.token, recorded_token) > worker.token:
             worker.token = self._next_token(max(report.token, worker.token, recorded_token))
             worker.token_confirmed = False
@@ -167,7 +191,7 @@
             and not direct
             and (report.session, report.tick) > worker.answered_report
         ):
-            # The worker sends its next report once it has taken or given up the answer to this one.
+            # The worker sends a later report only once it has processed or given up the answer to that report.
             worker.answered_report = worker.outstanding = None
         if worker.outstanding is not None and worker.outstanding.superseded_by(report):
             worker.outstanding = None
@@ -176,16 +200,17 @@
             self._record_notice(worker, report.notice_us)
 
     def _stale_fold_possible(self, worker: Worker, report: Report) -> bool:
-        """Whether a fold that is on its way may free what a machine that has begun anew would be told to start again.
+        """Return whether a fold that was built before may free tasks that a restarted machine is told to start again.
 
-        Safety point 3: the tasks that its last report listed as ended still have their places here.  A new token has
-        to be written into the record before any order, and a fold that was built before fails by version then.
+        Safety point 3: this is so if tasks that its last report listed as ended still have allocations here.  The
+        worker then needs a new token.  That token has to be written into the record before any order is sent, and
+        this write makes the earlier fold fail, because the record's version has changed.
         """
         last = worker.report
         machine = self.base.cluster_state.machines.get(worker.name)
         if last is None or machine is None:
             return False
-        # A machine that ended and is back has forgotten its token, and counts its sessions from the start.
+        # A restarted machine has forgotten its token and counts its sessions from the start.
         if report.session == last.session and report.token >= last.token:
             return False
         return any(
@@ -195,17 +220,17 @@
         )
 
     def _record_notice(self, worker: Worker, notice_us: int) -> None:
-        """Note when the cloud takes a machine; the earliest time counts, for a report may have come late."""
+        """Note when the cloud takes a machine away; the earliest time counts, because a report may come late."""
         until_us = self.kernel.now_us + notice_us
         if worker.terminates_us is None:
-            self.kernel.log("info", f"{worker.name} goes in {notice_us / SECOND_US:.0f} s")
+            self.kernel.log("info", f"{worker.name} will be taken away by the cloud in {notice_us / SECOND_US:.0f} s")
             worker.terminates_us = until_us
         worker.terminates_us = min(worker.terminates_us, until_us)
 
     def _observe_tasks(self, worker: Worker, report: Report) -> None:
-        """Learn run times from what has changed since the last report."""
-        # Only a report that carried this process's token was surely no old one: after any other, what runs by now may
-        # have begun at any time.
+        """Learn run times of tasks from what has changed since the last report."""
+        # Only a last report with this process's token is certain to be recent.  After any other, a task that runs now
+        # may have begun at any time.
         old = worker.report.tasks if worker.report is not None and worker.token_confirmed else None
         started = self.pace.watch.report(worker.name, worker.running_since_us, old, report.tasks, self.kernel.now_us)
         machine = self.base.cluster_state.machines.get(worker.name)
@@ -217,21 +242,22 @@
                 self.pace.watch.started(job, self.kernel.wall_us - allocation.record.placed_us)
 
     def _next_token(self, above: int) -> int:
-        # The low digits are this process's own and its counter only rises, so no token is given out twice,
-        # not even when a report that was held back shows one from before.
+        """Return a new ownership token that is higher than `above`."""
+        # The low bits identify this process and its counter only grows, so no token is issued twice, not even when a
+        # delayed report carries an older token.
         self._counter = max(self._counter, above >> TOKEN_SHIFT) + 1
         return self._counter << TOKEN_SHIFT | self.presence.incarnation
 
-    # Tending: fold what is learnt, tell what is to do
+    # Reconciliation: compare reports with records, fold the reports and send orders
 
     def reconcile(self, worker: Worker) -> None:
-        """See to a worker: compare its report with its record, and send the orders that follow."""
+        """Compare a worker's report with its machine's record, and send the orders that follow."""
         worker.reconcile_again = True
         if not worker.reconciling and self._needs_orders(worker):
             self.kernel.spawn(self._reconcile_worker(worker))
 
     def tend_all(self, names: Iterable[str]) -> None:
-        """These machines' part of the cluster state has changed: see to their workers."""
+        """Reconcile the workers of machines whose part of the cluster state has changed."""
         for name in names:
             worker = self.workers.get(name)
             if worker is not None:
@@ -240,7 +266,7 @@
                     self.reconcile(worker)
 
     def _needs_orders(self, worker: Worker) -> bool:
-        """Compare report and record; says whether there is anything to tell the worker directly."""
+        """Compare report and record, and mark the machine for a fold; returns whether to send orders directly."""
         report = worker.report
         if not worker.token or report is None:
             return False
@@ -256,7 +282,8 @@
             and self._owns(worker, machine)
             and unchanged[1].tasks == report.tasks
         ):
-            # It says nothing new, as nearly all reports do; a notice runs out even so.
+            # Nearly all reports say nothing new.  A machine with a notice is always compared, because its remaining
+            # time decides when tasks save.
             return False
         needs_fold = self._mark_for_fold(worker, machine, report)
         if not self._owns(worker, machine):
@@ -270,9 +297,11 @@
         return has_orders
 
     def _owns(self, worker: Worker, machine: Machine) -> bool:
+        """Return whether the worker's newest report and its machine's record both carry this controller's token."""
         return worker.token_confirmed and machine.record.token == worker.token
 
     def _reconcile_worker(self, worker: Worker) -> Fiber[None]:
+        """Send a worker its orders, again while something changes meanwhile, up to four times."""
         if worker.reconciling:
             return
         worker.reconciling = True
@@ -288,7 +317,7 @@
             worker.reconciling = False
 
     def _mark_for_fold(self, worker: Worker, machine: Machine, report: Report) -> bool:
-        """Mark a machine whose record is to be folded; says whether there is anything to fold."""
+        """Mark a machine for a fold if its report adds anything to its record; returns whether it does."""
         if not worker.token_confirmed:
             return False
         cluster_state = self.base.cluster_state
@@ -296,8 +325,8 @@
         unrecorded = record.token < worker.token
         notice = report.notice_us is not None and not record.retiring
         needs_fold = unrecorded or notice
-        # No order may be given before the token is in the record.  After all controllers have ended that is a change
-        # for each group, many times over: what runs on undisturbed is signed when there is company.
+        # No order may be sent before the token is in the record.  After a restart of all controllers each group needs
+        # many such writes, so for machines whose tasks just keep running the token is written with other reports.
         urgent = notice or (unrecorded and not machine.holds)
         time_left_us = self._time_left_us(worker)
         absence_is_proof = record.token == worker.token and not worker.in_flight and worker.answered_report is None
@@ -312,7 +341,7 @@
                     urgent = urgent or (unrecorded and not dead)
                 elif seen.state == "ended":
                     ended += 1
-                    # A failure and the end of a job are not kept waiting for company.
+                    # Failures, and the ends of jobs below, do not wait for other reports.
                     urgent = urgent or seen.cause != "done"
                 else:
                     unallocated -= 1
@@ -327,19 +356,20 @@
             if ended:
                 needs_fold = True
                 if owning_job is not None and not cluster_state.all_done(owning_job):
-                    # One task that is done speaks for its gang: those heard of after it can wait for company.
+                    # The first completed task of a gang completes the job; reports of the others can wait.
                     urgent = urgent or owning_job.spec.kind == "gang" or self._all_ended(owning_job)
-        # What is there without a hold waits for an order as well.
+        # Tasks without an allocation also have to be killed, which takes an order.
         urgent = urgent or (unrecorded and unallocated > 0)
         if needs_fold:
             self.schedule_fold(machine, urgent)
         return needs_fold
 
     def _all_ended(self, job: Job) -> bool:
-        """Whether the workers that report here say that all that is left of a job has ended.
+        """Return whether, by the reports that came here, all unfinished tasks of a job have ended.
 
-        For a job that others wait for, all that is left of it here: nobody else hears of that, and a lazy fold would
-        hold up the next stage.  Under the lower limits lazy folds are rare, and all that have a time are such jobs.
+        For a job that others wait for, only the tasks on workers that report here count: no other controller gets
+        these reports, and a fold that waits would delay the next stage.  Under the lower limits, where such waits are
+        long, the same holds for all jobs with a stated time.
         """
         cluster_state = self.base.cluster_state
         needs_all_reports = not (
@@ -361,7 +391,7 @@
         return True
 
     def _compute_orders(self, worker: Worker, machine: Machine) -> list[dict[str, Any]]:
-        """The orders that bring a worker in line with the record of its machine; ended tasks go to `clears`."""
+        """Return the orders that bring a worker in line with its record; those to clear go to `worker.clears`."""
         report = worker.report
         assert report is not None
         if worker.in_sync is not None and worker.in_sync[0] is machine and worker.in_sync[1].tasks == report.tasks:
@@ -389,7 +419,7 @@
         worker.clears = []
         for key, seen in report.tasks.items():
             if key not in allocated:
-                # Freed before: an ended task may be forgotten now, and anything else has no right to be there.
+                # Its allocation is freed: the worker may forget an ended task, and must kill any other.
                 if seen.state == "ended":
                     worker.clears.append(messages.clear(key))
                 else:
@@ -400,14 +430,17 @@
         return orders
 
     def _on_order_answer(self, worker: Worker, report: Report) -> None:
-        """Learn from the report in the answer to a direct order, which tells nothing of what went out in answers."""
+        """Process the report in the answer to a direct order.
+
+        Such a report does not show whether the worker has received orders that went out in an answer to a report.
+        """
         self._take_report(worker, report, direct=True)
         worker.reconcile_again = True
         if not worker.reconciling:
             self.reconcile(worker)
 
     def adopt(self) -> Fiber[None]:
-        """Wait for machines that are in no group, and add them, those of one type together."""
+        """Wait for machines that are in no group, and add those of one type and zone to groups."""
         if not self._unknown_machines:
             yield self._adopt_signal
         yield Sleep(ADOPTION_DELAY_US)
@@ -434,43 +467,46 @@
                 report = self._unknown_machines.pop(name)
                 self.kernel.log("info", f"{name} ({report.type}, {report.zone}) is up")
         else:
-            # Those that another controller adopts meanwhile, or that are gone, do not report here again.
+            # Machines that another controller has added meanwhile, or that are gone, do not report here again.
             self._unknown_machines.clear()
             yield Sleep(int(self.kernel.rng.uniform(0.02, 0.2) * SECOND_US))
 
     # Folding
 
     def hurry(self) -> None:
-        """Somebody waits for the room that reports have freed here."""
+        """Fold all marked machines at once, because a job waits for capacity that their reports have freed."""
         self._urgent.update(self._dirty)
         self.kernel.fire(self._fold_signal)
 
     def schedule_fold(self, machine: Machine, urgent: bool) -> None:
-        """Note that a machine's report is to be folded into its group's record, at once if it is urgent."""
+        """Mark a machine whose report is to be folded into its group's record, at once if it is urgent."""
         self._dirty.setdefault(machine.group, set()).add(machine.name)
         if urgent:
             self._urgent.add(machine.group)
         self.kernel.fire(self._fold_signal)
 
     def _evidence(self, group: Group) -> dict[str, Evidence]:
+        """Return the reports, by machine, of those marked machines of a group whose token is confirmed."""
         evidence = {}
         for name in self._dirty.get(group.key, group.machines):
             worker = self.workers.get(name)
             if worker is not None and worker.token and worker.report is not None and worker.token_confirmed:
-                # While orders are on their way, what is not listed may be about to start.
+                # While orders are on their way, a task that is not listed may be about to start.
                 busy = worker.in_flight or worker.answered_report is not None
                 evidence[name] = Evidence(worker.report, worker.token, not busy, self._time_left_us(worker))
         return evidence
 
     def _time_left_us(self, worker: Worker) -> int | None:
+        """Return the time until the cloud takes a worker's machine away; None if it has given no notice."""
         return None if worker.terminates_us is None else worker.terminates_us - self.kernel.now_us
 
     def _fold(self) -> Txn | None:
+        """Return the transaction that folds all groups or the urgent ones; None if there is nothing to write."""
         cluster_state = self.base.cluster_state
         fold = Fold(self.kernel, cluster_state, self.base.limits)
         for job in self._completed_jobs(deferrable=False):
             fold.end(job)
-        # Those that were marked first come first, for not all may fit.
+        # Groups that were marked first come first, because not all may fit.
         for key, names in list(self._dirty.items()):
             if not self._fold_all and key not in self._urgent:
                 continue
@@ -482,7 +518,10 @@
         return fold.transaction()
 
     def light(self, groups: Iterable[str] | None = None) -> Fold:
-        """What reports have freed here and no commit has yet: a placement in the same groups takes it along."""
+        """Return the fold of reports that change group records only, for a placement to write with its own changes.
+
+        It covers the given groups, by default all that have marked machines.
+        """
         fold = Fold(self.kernel, self.base.cluster_state, self.base.limits)
         for key in list(self._dirty) if groups is None else groups:
             group = self.base.cluster_state.groups.get(key)
@@ -491,12 +530,12 @@
         return fold
 
     def folded(self, names: set[str]) -> None:
-        """The reports of these machines are in their records now."""
+        """Unmark machines whose reports are in their records now."""
         for key in list(self._dirty):
             self._unmark(key, names)
 
     def due(self) -> set[str]:
-        """Groups whose records are to be written anyway, for their machines have something to fold."""
+        """Return the groups with marked machines, whose records are to be written anyway."""
         return set(self._dirty)
 
     def _unmark(self, group: str, names: set[str]) -> None:
@@ -506,10 +545,11 @@
             self._urgent.discard(group)
 
     def _fold_interval_us(self) -> int:
-        """How long to wait for company: folds may take half of this controller's changes, a quarter when scarce.
+        """Return the time between folds of all groups, in microseconds, which bounds their part of the write budget.
 
-        Under the lower limits a fold takes few groups and a job more changes, so it is a tenth: who needs room asks
-        for it, and placements take along what is free where they go.
+        Folds may take half of this controller's writes, or a quarter while writes are scarce.  Under the lower limits
+        a fold covers few groups and a job needs more writes, so the part is a tenth.  Jobs that need capacity ask for
+        a fold, and placements write the freed capacity of the groups that they change.
         """
         changes = self.base.store.changes
         scarce = (10, LOW_SCARCE_MAX_FOLD_INTERVAL_US) if self.base.limits.low else (4, SCARCE_MAX_FOLD_INTERVAL_US)
@@ -522,7 +562,7 @@
         if not self._dirty and not completed:
             yield Wait(self._fold_signal, SECOND_US // 4)
             return
-        # A job's end may wait for others while changes are scarce, but it is to show within 3 s.
+        # The end of a job may wait for others while writes are scarce, but has to be visible within 3 s.
         yield Sleep(SCARCE_FOLD_DELAY_US if self.base.store.changes.scarce() else FOLD_DELAY_US)
         while (
             not self._urgent and not completed and self.kernel.now_us < self._last_fold_us + self._fold_interval_us()
@@ -546,13 +586,16 @@
             yield from self.base.follower.barrier()
 
     def _completed_jobs(self, deferrable: bool) -> list[Job]:
-        """This controller's jobs all of whose tasks are done: those whose records may wait, or those that may not."""
+        """Return this controller's jobs whose tasks are all done.
+
+        `deferrable` selects the jobs whose records may be moved later, otherwise those to be ended at once.
+        """
         cluster_state = self.base.cluster_state
         jobs = (cluster_state.jobs[job_id] for job_id in sorted(cluster_state.completed()))
         return [job for job in jobs if ends_later(job, self.base.limits) == deferrable and self.presence.mine(job)]
 
     def tidy(self) -> Fiber[None]:
-        """Move the records of jobs that count as done already, when there is little else to do, or at last."""
+        """Move the records of jobs that already count as done, if there is little else to write or they are late."""
         jobs, now = self._completed_jobs(deferrable=True), self.kernel.now_us
         for job in jobs:
             if job.id not in self._completed_us:
@@ -563,20 +606,21 @@
         jobs.sort(key=lambda job: self._completed_us[job.id])
         changes = self.base.store.changes
         scarce = changes.scarce()
-        # What is kept in groups takes room there, but moving it costs two changes a job.
+        # Completed tasks that group records keep take space there, but moving a job's record costs two writes.
         late = now - self._completed_us[jobs[0].id] > (SCARCE_TIDY_DELAY_US if scarce else TIDY_DELAY_US)
         if scarce and not late and len(jobs) < MAX_UNMOVED_JOBS:
             return
-        # Never before a fold, which shows the ends of many jobs with one change.
+        # Folds always go first, because one write makes the ends of many jobs visible.
         urgency = Urgency.PLACE if late else Urgency.BOOKKEEPING
         jobs = jobs[: self.base.limits.ops // 2]
-        # No more at once than a full bucket: ends that are to show within 3 s would wait until a debt is paid.
+        # At most a full token bucket of writes at once.  Otherwise ends of jobs, which have to be visible within 3 s,
+        # would wait until the bucket is out of debt.
         batch_size = max(int(changes.bucket.rate * changes.bucket.burst_s) // 2, 1)
         for first in range(0, len(jobs), batch_size):
             yield from self._move(jobs[first : first + batch_size], urgency)
 
     def _move(self, jobs: list[Job], urgency: Urgency) -> Fiber[None]:
-        """Move the records of jobs that count as done, two changes each."""
+        """Move the records of jobs that count as done, with two writes for each."""
 
         def build() -> Txn | None:
             fold = Fold(self.kernel, self.base.cluster_state, self.base.limits)
@@ -588,11 +632,11 @@
         yield from self.base.follower.commit(build, min(2 * len(jobs), self.base.limits.ops), urgency, "tidy")
 
     def heard_us(self) -> dict[str, int]:
-        """When each worker that reports here was last heard."""
+        """Return when each worker that reports here was last heard."""
         return {worker.name: worker.heard_us for worker in self.workers.values() if worker.heard_us}
 
     def sweep(self) -> Fiber[None]:
-        """Forget workers that have long been silent."""
+        """Forget workers that have neither reported nor been redirected for 120 s."""
         limit = 120 * SECOND_US
         since_us = self.kernel.now_us - limit
         for name in [w.name for w in self.workers.values() if max(w.heard_us, w.redirected_us) < since_us]:
