--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -60,7 +60,7 @@
         assert report is not None
         token = worker.token
         if self.kernel.verbose:
-            self.kernel.log("debug", f"{worker.name} told {orders}")
+            self.kernel.log("debug", f"orders sent to {worker.name}: {orders}")
         worker.in_flight = bool(orders)
         note_outstanding(worker, orders)
         body = messages.orders_body(token, report.session, orders)
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -356,17 +356,19 @@
 
 FIRST = {
     "absence-is-proof": [
-        "tests/test_safety.py::test_absence_proves_nothing_once_a_later_owner_has_signed_the_record"
+        "tests/test_safety.py::test_absence_proves_nothing_once_a_later_owner_has_recorded_its_token"
     ],
     "free-before-deletion": ["tests/test_decommissioning.py"],
     "place-while-deleting": ["tests/test_decommissioning.py"],
     "clear-before-commit": [
-        "tests/test_guards.py::test_an_ended_task_is_not_cleared_while_its_hold_is_in_the_record"
+        "tests/test_guards.py::test_an_ended_task_is_not_cleared_while_its_allocation_is_in_the_record"
     ],
     "one-token-for-all": ["tests/test_safety.py::test_no_two_processes_give_out_the_same_token"],
     "orders-without-record": ["tests/test_safety.py::test_orders_are_given_only_once_the_record_carries_the_token"],
     "no-doubt": ["tests/test_safety.py::test_an_order_without_an_answer_voids_the_token"],
-    "orders-in-flight-ignored": ["tests/test_safety.py::test_orders_on_their_way_withhold_the_proof_of_absence"],
+    "orders-in-flight-ignored": [
+        "tests/test_safety.py::test_a_report_proves_no_absence_while_its_owner_has_orders_on_their_way"
+    ],
     "renew-for-ever": ["tests/test_safety.py::test_leases_are_not_renewed_for_ever_without_the_state_service"],
     "job-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
     "groups-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
@@ -440,7 +442,7 @@
     "eras-are-added": ["tests/test_estimates.py"],
     "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_drown_the_others"],
     "adopted-twice": ["tests/test_safety.py::test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group"],
-    "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_pages_of_different_moments"],
+    "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_records_read_at_different_moments"],
     "done-tasks-dropped": [
         "tests/test_placement.py::test_completed_tasks_of_an_array_cost_its_group_only_and_are_not_placed_again"
     ],
@@ -478,7 +480,9 @@
         "tests/test_pipelines.py::test_a_whole_chain_is_cancelled_with_its_first_job_before_any_record_is_moved"
     ],
     "needed-not-read": ["tests/test_guards.py::test_final_states_of_needed_jobs_are_read_though_no_user_asks"],
-    "answers-without-needs": ["tests/test_guards.py::test_an_answer_reads_what_it_does_not_know_of_the_jobs_before"],
+    "answers-without-needs": [
+        "tests/test_guards.py::test_an_answer_reads_the_unknown_final_states_of_needed_jobs_first"
+    ],
     "never-accepted-not-looked-up": [
         "tests/test_pipelines.py::test_a_job_never_accepted_and_the_job_itself_are_refused_and_the_former_only_until_it_is_accepted"
     ],
@@ -516,7 +520,7 @@
         "tests/test_addition.py::test_a_controller_does_not_count_a_machine_as_heard_that_goes_on_without_the_token_it_was_given"
     ],
     "zone-not-checked": [
-        "tests/test_guards.py::test_a_job_of_one_zone_is_not_placed_in_another_by_a_picture_that_has_changed"
+        "tests/test_guards.py::test_a_job_of_one_zone_is_not_placed_in_another_by_a_plan_that_is_out_of_date"
     ],
 }
 """What states most directly what a mutant breaks."""
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -1,4 +1,4 @@
-"""Safety points that generated faults seldom reach, each shown directly."""
+"""Safety points that generated faults seldom exercise, each tested directly."""
 
 import msgspec
 import pytest
@@ -15,33 +15,36 @@
 from tests.model import CANCEL_S, LEASE_S, Model, submission
 
 
-def fold(record_token: int, own_token: int, exact: bool):
-    """Fold an empty report over a machine that holds a task of a job that is over."""
+def fold(record_token: int, own_token: int, proves_absence: bool):
+    """Fold an empty report of a machine whose record has a task of a job that is over; returns its allocations then.
+
+    None means that there is nothing to write.
+    """
     cluster_state = ClusterState()
-    hold = AllocationRecord("job-1", 1, "0", "crew", 1.0, 0.0, 1.0, 0)
-    machine = MachineRecord("vm-1:1", token=record_token, holds=[hold])
+    allocation = AllocationRecord("job-1", 1, "0", "crew", 1.0, 0.0, 1.0, 0)
+    machine = MachineRecord("vm-1:1", token=record_token, holds=[allocation])
     cluster_state.put(GROUP + "g", msgspec.to_builtins(GroupRecord("small", "a", {"vm-1": machine})), 5)
     report = Report("vm-1", "vm-1:1", "small", "a", False, 1, 9, own_token, None, {})
-    evidence = {"vm-1": Evidence(report, own_token, exact)}
+    evidence = {"vm-1": Evidence(report, own_token, proves_absence)}
     fold = Fold(Kernel(None), cluster_state, Limits(16, 60_000, 32_768))
     fold.add(cluster_state.groups[GROUP + "g"], ["vm-1"], evidence)
     txn = fold.transaction()
     return None if txn is None else txn.puts[GROUP + "g"]["machines"]["vm-1"].get("holds", [])
 
 
-def test_what_an_owner_does_not_see_listed_is_freed():
-    assert fold(record_token=7, own_token=7, exact=True) == []
+def test_a_task_missing_from_the_report_to_its_owner_is_freed():
+    assert fold(record_token=7, own_token=7, proves_absence=True) == []
 
 
 def test_absence_proves_nothing_while_orders_are_on_their_way():
-    assert fold(record_token=7, own_token=7, exact=False) is None
+    assert fold(record_token=7, own_token=7, proves_absence=False) is None
 
 
-def test_absence_proves_nothing_once_a_later_owner_has_signed_the_record():
-    assert fold(record_token=8, own_token=7, exact=True) is None
+def test_absence_proves_nothing_once_a_later_owner_has_recorded_its_token():
+    assert fold(record_token=8, own_token=7, proves_absence=True) is None
 
 
-def settled(seed: int = 5) -> Model:
+def model_with_running_service(seed: int = 5) -> Model:
     model = Model(seed)
     model.run(3)
     model.submit(submission("job-0", pieces=2, shape="service"))
@@ -55,7 +58,7 @@
 
 
 def test_no_two_processes_give_out_the_same_token():
-    model = settled()
+    model = model_with_running_service()
     desks = [host.core.desk for host in model.hosts]
     model.crash(0, 1)
     model.run(6)
@@ -66,9 +69,9 @@
 
 
 def test_an_order_without_an_answer_voids_the_token():
-    model = settled()
+    model = model_with_running_service()
     name = next(iter(model.workers))
-    # Orders are held for long, and the job is cancelled: the kill gets no answer.
+    # Orders are held up for 20 s, and the job is cancelled, so the kill gets no answer.
     model.held_orders[name] = model.now + 20_000_000
     before = max(w.token for w in owners(model, name))
     model.cancel("job-0")
@@ -76,8 +79,8 @@
     assert max(w.token for w in owners(model, name)) > before
 
 
-def test_orders_on_their_way_withhold_the_proof_of_absence():
-    model = settled()
+def test_a_report_proves_no_absence_while_its_owner_has_orders_on_their_way():
+    model = model_with_running_service()
     name = next(n for machines in model.on.values() for n in machines)
     core = next(
         h.core for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
@@ -126,7 +129,7 @@
 
 
 def test_orders_are_given_only_once_the_record_carries_the_token():
-    model = settled()
+    model = model_with_running_service()
     name = next(n for machines in model.on.values() for n in machines)
     desk = next(
         h.core.desk
@@ -146,12 +149,12 @@
 
 @pytest.mark.parametrize("peers_in_reach", [0, 1])
 def test_leases_are_not_renewed_for_ever_without_the_state_service(peers_in_reach):
-    model = settled()
+    model = model_with_running_service()
     assert renews(model, 0)
     model.cut("c0", "state", 60, False)
     for peer in range(1, 3 - peers_in_reach):
         model.cut("c0", f"c{peer}", 60, False)
-    # Up to the limit short outages kill no work; past it a cancellation elsewhere could be missed.
+    # Up to the bound, short outages kill no tasks.  After it, a cancellation confirmed elsewhere could be missed.
     model.run(CANCEL_S - LEASE_S - 3)
     assert renews(model, 0)
     model.run(3)
@@ -159,11 +162,11 @@
 
 
 def test_leases_are_renewed_while_all_peers_state_the_cancellations_that_they_know():
-    model = settled()
+    model = model_with_running_service()
     model.cut("c0", "state", 200, False)
     model.run(3 * CANCEL_S)
     assert renews(model, 0)
-    # One of them alone may have confirmed a cancellation since.
+    # A single peer that cannot be reached may have confirmed a cancellation since.
     model.cut("c0", "c2", 200, False)
     model.run(CANCEL_S - LEASE_S - 4)
     assert renews(model, 0)
@@ -176,7 +179,7 @@
     reports = {"vm-1": Report("vm-1", "vm-1:1", "small", "a", False, 1, 1, 0, None, {})}
     late, later = ClusterState(), ClusterState()
     limits = Limits(16, 60_000, 32_768)
-    # The second one knows a group that the first does not, so they would choose different ones.
+    # The second controller knows a group that the first does not, so they choose different groups.
     other = msgspec.to_builtins(GroupRecord("small", "a", {"vm-0": MachineRecord("vm-0:1")}))
     later.put(GROUP + "other", other, 1)
     state.keys[GROUP + "other"] = (other, 1, None)
@@ -188,9 +191,9 @@
     assert answers == [200, 409]
 
 
-def test_nothing_is_placed_on_pages_of_different_moments():
-    # A job read later than the groups that hold its tasks would seem to have none placed.
-    model = settled()
+def test_nothing_is_placed_on_records_read_at_different_moments():
+    # A job that was read later than the groups with its tasks would seem to have no tasks placed.
+    model = model_with_running_service()
     follower = model.hosts[0].core.follower
     follower.loaded = follower._paged = False
     load = follower._load()
@@ -208,8 +211,8 @@
     assert not follower.loaded
 
 
-def told_to_save(kind: str, spot_notice_s: float = 9.0) -> tuple[Model, set[int]]:
-    """Run a job of three tasks, one to a machine, give one of its machines notice, and see which tasks save."""
+def tasks_that_save_after_notice(kind: str, spot_notice_s: float = 9.0) -> tuple[Model, set[int]]:
+    """Run a job of three tasks on three machines, give notice to one machine, and return which tasks save."""
     model = Model(21)
     model.checks()
     model.run(3)
@@ -245,8 +248,8 @@
 
 
 def test_a_task_saves_before_its_machine_goes():
-    assert told_to_save("batch")[1] == {0}
+    assert tasks_that_save_after_notice("batch")[1] == {0}
 
 
 def test_a_gang_is_stopped_as_a_whole_before_it_loses_a_machine():
-    assert told_to_save("gang")[1] == {0, 1, 2}
+    assert tasks_that_save_after_notice("gang")[1] == {0, 1, 2}
