--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -34,7 +34,10 @@
 The ends of jobs and failures are urgent, because a job's end has to be visible within 3 s.
 """
 MAX_TASKS_TO_CHECK, MAX_TIMED_TASKS_TO_CHECK = 40, 400
-"""A job with more unfinished tasks than these is not checked at each report for whether all have ended."""
+"""A job with more placed tasks is not checked at each report for whether all have ended.
+
+The latter is for jobs that others wait for and, under the lower limits, for jobs with a stated time.
+"""
 TIDY_DELAY_US, SCARCE_TIDY_DELAY_US = 30 * SECOND_US, 240 * SECOND_US
 """How long moving the records of completed jobs may be put off, and the same while the write budget is scarce."""
 MAX_UNMOVED_JOBS = 300
@@ -77,7 +80,7 @@
         self._failed_folds = 0
         """How many folds in a row have failed, up to 5."""
         self._completed_us: dict[str, int] = {}
-        """For completed jobs whose records are still to be moved, since when they are known to be completed."""
+        """When the completion of each job was first noticed whose record is still to be moved."""
         self._unknown_machines: dict[str, Report] = {}
         """The reports of machines that are in no group, to be added to one."""
         self._adopt_signal = Signal()
@@ -140,7 +143,7 @@
                 orders = due_orders
                 worker.answered_report = (report.session, report.tick)
                 note_outstanding(worker, due_orders)
-            # Clears need no such care: their attempts have no allocation and will never be launched again.
+            # Clears are not noted as outstanding: their attempts have no allocation and are never launched again.
             orders = orders + worker.clears
         self.kernel.answer(request_id, 200, messages.report_answer(worker.token, orders[:MAX_ORDERS]))
         self.reconcile(worker)
@@ -301,7 +304,7 @@
         return worker.token_confirmed and machine.record.token == worker.token
 
     def _reconcile_worker(self, worker: Worker) -> Fiber[None]:
-        """Send a worker its orders, again while something changes meanwhile, up to four times."""
+        """Send a worker its orders, and again if something has changed meanwhile, up to four times."""
         if worker.reconciling:
             return
         worker.reconciling = True
@@ -391,7 +394,7 @@
         return True
 
     def _compute_orders(self, worker: Worker, machine: Machine) -> list[dict[str, Any]]:
-        """Return the orders that bring a worker in line with its record; those to clear go to `worker.clears`."""
+        """Return the orders that bring a worker in line with its record; clears go to `worker.clears`."""
         report = worker.report
         assert report is not None
         if worker.in_sync is not None and worker.in_sync[0] is machine and worker.in_sync[1].tasks == report.tasks:
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -445,12 +445,14 @@
         return txn
 
 
-def group_size(kind: MachineType | None, limits: Limits) -> int:
+def group_size(machine_type: MachineType | None, limits: Limits) -> int:
     """Return how many machines of a type share a record: as many as fit into a value with their likely allocations.
 
     Fewer and larger groups need fewer writes, because a placement or a fold costs one write for each group.
     """
-    allocations = max(kind.gpus / 2, kind.cpus / CPUS_PER_ALLOCATION, 1.0) if kind is not None else 1.0
+    allocations = (
+        max(machine_type.gpus / 2, machine_type.cpus / CPUS_PER_ALLOCATION, 1.0) if machine_type is not None else 1.0
+    )
     machine_bytes, allocation_bytes = FULL_FORM_BYTES
     if limits.lean:
         # A group that fills up is split, so it need not be small from the start.
@@ -476,9 +478,9 @@
     first = next(iter(unknown_machines.values()))
     max_machines = fixed_size or group_size(cluster_state.types.get(first.type), limits)
     max_bytes = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
-    kind = (first.type, first.zone)
+    type_and_zone = (first.type, first.zone)
     lock = f"{ADOPTED}{first.type}.{first.zone}"
-    groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == kind)
+    groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == type_and_zone)
     open_groups = [g for g in groups if len(g.machines) < max_machines and g.size < max_bytes and not g.moving]
     txn = Txn().guard(lock, cluster_state.version(lock)).put(lock, cluster_state.version(lock))
     adopted: list[str] = []
