--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -170,9 +170,9 @@
     for host in model.hosts:
         known = host.core.desk.workers[name]
         assert known.newest > sent
-        before = known.report, known.heard_us, known.token, dict(known.began), known.newest
+        before = known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest
         model.copy_arrives(name, host.number, copy)
-        assert (known.report, known.heard_us, known.token, dict(known.began), known.newest) == before
+        assert (known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest) == before
     # Nor is a machine that was deleted since adopted again.
     model.cloud.end(model.now, name, "deleted")
     model.run(60)
