--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/desk.py
@@ -1,4 +1,7 @@
-"""The desk where workers report: who owns them, what they are told and what is learnt from them."""
+"""Handling of workers' reports: ownership of workers, orders to them, and writing what they report.
+
+A *fold* is the transaction that writes what workers reported into the records of their groups.
+"""
 
 from __future__ import annotations
 
@@ -13,33 +16,44 @@
 from ashtray.placement.machine_groups import Group, Machine
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers import messages
-from ashtray.workers.folding import Evidence, Fold, adoption, allocation_is_dead, ends_later, saves_now
+from ashtray.workers.folding import Evidence, Fold, adoption, allocation_is_dead, ends_later, must_save_now
 from ashtray.workers.messages import Report, TaskKey, parse_report
-from ashtray.workers.order_delivery import OrderDelivery, note_underway
+from ashtray.workers.order_delivery import OrderDelivery, note_outstanding
 from ashtray.workers.renewal import RenewalGuard
 from ashtray.workers.worker import Worker
 
 TOKEN_SHIFT = 40
-FOLD_US = 150_000
-SCARCE_FOLD_US = 500_000
-LAZY_US = 1_700_000
-SCARCE_US, LOW_SCARCE_US = 4 * SECOND_US, 20 * SECOND_US
-"""A fold waits no longer for company, the latter when commits wait for their budget.
+"""The bits of an ownership token below its counter, which hold the incarnation of the process that issued it."""
+FOLD_DELAY_US = 150_000
+SCARCE_FOLD_DELAY_US = 500_000
+"""How long a fold waits for more reports to write together, and the same while the write budget is scarce."""
+MAX_FOLD_INTERVAL_US = 1_700_000
+SCARCE_MAX_FOLD_INTERVAL_US, LOW_SCARCE_MAX_FOLD_INTERVAL_US = 4 * SECOND_US, 20 * SECOND_US
+"""The longest time between folds that are not urgent; the latter two while the write budget is scarce.
+
+The ends of jobs and failures are urgent, because a job's end has to be visible within 3 s.
+"""
+MAX_TASKS_TO_CHECK, MAX_TIMED_TASKS_TO_CHECK = 40, 400
+"""A job with more placed tasks is not checked at each report for whether all have ended.
 
-What ends a job, or failed, is folded at once: a job's end is to show within 3 s.
+The latter is for jobs that others wait for and, under the lower limits, for jobs with a stated time.
 """
-MANY_TASKS, MANY_TIMED_TASKS = 40, 400
-"""With more open tasks than these a job is not looked at for its end at each report."""
-TIDY_US, SCARCE_TIDY_US = 30 * SECOND_US, 240 * SECOND_US
-MAX_UNTIDY = 300
-ADOPT_US = 200_000
-STICK_US = 30 * SECOND_US
-FRESH_US = 3 * SECOND_US
+TIDY_DELAY_US, SCARCE_TIDY_DELAY_US = 30 * SECOND_US, 240 * SECOND_US
+"""How long moving the records of completed jobs may be put off, and the same while the write budget is scarce."""
+MAX_UNMOVED_JOBS = 300
+"""With so many completed jobs their records are moved even while the write budget is scarce."""
+ADOPTION_DELAY_US = 200_000
+"""How long machines that are in no group wait for others that can be added in the same transaction."""
+KEEP_WORKER_US = 30 * SECOND_US
+"""How long a worker is kept here that comes back after it was redirected."""
+MAX_READ_AGE_US = 3 * SECOND_US
+"""Tasks are launched only if the state service was read within this time."""
 MAX_ORDERS = 400
+"""How many orders go into one message."""
 
 
 class Desk:
-    """Takes the reports of workers, owns workers, gives them orders, and folds what they report into records."""
+    """Takes workers' reports, owns workers, sends them orders, and folds what they report into group records."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, pace: Pace, renewal: RenewalGuard) -> None:
         self.base = base
@@ -51,26 +65,34 @@
         self.workers: dict[str, Worker] = {}
         self.delivery = OrderDelivery(base, self.workers, self._next_token, self._on_order_answer)
         self._counter = 0
-        self._fold_kick = Signal()
+        self._fold_signal = Signal()
         self._dirty: dict[str, set[str]] = {}
-        """For each group the machines with something to fold."""
+        """For each group, the machines with something to fold."""
         self._urgent: set[str] = set()
-        """Groups whose fold does not wait for company; the others then wait on, for each costs a change."""
-        self._due = False
-        self._folded: Fold | None = None
-        self._fold_us = 0
-        """When the last fold was committed, and how many changes it took."""
-        self._fold_cost = 0
-        self._failures = 0
-        self._done_us: dict[str, int] = {}
-        """Since when jobs have been known to be done whose records are to be moved."""
-        self._strangers: dict[str, Report] = {}
-        self._stranger_kick = Signal()
+        """Groups that are folded at once.  The others still wait, because each group costs a write."""
+        self._fold_all = False
+        """Whether the next fold takes all groups, not only the urgent ones."""
+        self._last_fold: Fold | None = None
+        self._last_fold_us = 0
+        """When the last fold of all groups was committed."""
+        self._last_fold_writes = 0
+        """How many writes that fold took."""
+        self._failed_folds = 0
+        """How many folds in a row have failed, up to 5."""
+        self._completed_us: dict[str, int] = {}
+        """When the completion of each job was first noticed whose record is still to be moved."""
+        self._unknown_machines: dict[str, Report] = {}
+        """The reports of machines that are in no group, to be added to one."""
+        self._adopt_signal = Signal()
 
     # Reports
 
     def on_report(self, request_id: int, body: Any) -> None:
-        """Answer a report: 200 with a token and orders, 421 to send it elsewhere, 400, or 503 if unable to act."""
+        """Answer a report.
+
+        The status is 200 with a token and orders, 421 with the name of a better controller, 400 for a malformed
+        report, or 503 if this controller cannot act on it.
+        """
         report = parse_report(body)
         if report is None:
             self.kernel.answer(request_id, 400, {"error": "malformed report"})
@@ -82,161 +104,172 @@
         if worker is None:
             worker = self.workers[report.machine] = Worker(report.machine)
         if (report.session, report.tick) <= worker.newest:
-            # A report that was held back on its way, or a copy: its sender gave it up long ago.
+            # A delayed report or a copy, whose sender has given up on its answer.
             self.kernel.answer(request_id, 503, {"error": "old report"})
             return
         worker.newest = report.session, report.tick
         foreman = self._foreman(worker, report)
         if foreman is not None:
-            worker.sent_away_us = self.kernel.now_us
-            worker.token, worker.exact = 0, False
+            worker.redirected_us = self.kernel.now_us
+            worker.token, worker.token_confirmed = 0, False
             worker.report = None
-            worker.began.clear()
+            worker.running_since_us.clear()
             self.kernel.answer(request_id, 421, {"foreman": foreman})
             return
         if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):
-            # Safety point 5: cancellations may have been confirmed elsewhere that this controller does not know of.
+            # Safety point 5: a peer may have confirmed cancellations that this controller does not know of.
             self.kernel.answer(request_id, 503, {"error": "cut off from the state service"})
             return
-        met = worker.token == 0
-        self._learn(worker, report)
-        if met or worker.exact:
-            # One that goes on without the token that it was given does not hear: its reports come, and no answer or
-            # order reaches it.  It is as good as silent, and is returned like one that is (point 28).
+        newly_claimed = worker.token == 0
+        self._take_report(worker, report)
+        if newly_claimed or worker.token_confirmed:
+            # A worker that keeps reporting without its token receives no answers or orders.  It counts as silent, so
+            # its machine is returned like a silent one (point 28).
             worker.heard_us = self.kernel.now_us
-        # An answer that renews the lease also ends what is known to be over, whoever owns the worker: found by the
-        # model test, a new owner that could not sign the record kept a cancelled job's tasks alive.
+        # An answer that renews the lease also kills tasks of jobs known to be over, whoever owns the worker.
+        # Otherwise a new owner that cannot write its token into the record would keep a cancelled job's tasks alive.
         orders = self.delivery.kills_for(report)
         machine = self.base.cluster_state.machines.get(worker.name)
         if machine is None:
-            # Only what reports is added: found on a simulated day, machines just deleted were added again when
-            # their removal was noticed, for their last reports were still known.
-            if report.token == 0 or worker.exact:
-                # One that has been owned may be gone by now: only a report with this process's token is no old one.
-                self._strangers[worker.name] = report
-                self.kernel.fire(self._stranger_kick)
-        elif not worker.tending and self._owns(worker, machine):
-            told = self._review(worker, machine)
-            if told and self.kernel.now_us < worker.direct_bad_until_us:
-                orders = told
-                worker.answered = (report.session, report.tick)
-                note_underway(worker, told)
-            # A clear needs no such care: the attempt that it ends has no hold, and will never be launched again.
+            # A machine is added only when it reports, not when its record disappears.  Otherwise deleted machines are
+            # added again when their removal is noticed, because their last reports are still known.
+            if report.token == 0 or worker.token_confirmed:
+                # A machine that was owned before may be gone.  Only a report with this process's token is not old.
+                self._unknown_machines[worker.name] = report
+                self.kernel.fire(self._adopt_signal)
+        elif not worker.reconciling and self._owns(worker, machine):
+            due_orders = self._compute_orders(worker, machine)
+            if due_orders and self.kernel.now_us < worker.direct_backoff_until_us:
+                orders = due_orders
+                worker.answered_report = (report.session, report.tick)
+                note_outstanding(worker, due_orders)
+            # Clears are not noted as outstanding: their attempts have no allocation and are never launched again.
             orders = orders + worker.clears
         self.kernel.answer(request_id, 200, messages.report_answer(worker.token, orders[:MAX_ORDERS]))
-        self.tend(worker)
+        self.reconcile(worker)
 
     def _foreman(self, worker: Worker, report: Report) -> str | None:
-        """Another controller that this worker had better report to; a hint, never relied on."""
+        """Return the controller that this worker should report to instead, or None; safety does not depend on it."""
         now = self.kernel.now_us
-        if now < worker.sticks_until_us:
+        if now < worker.keep_until_us:
             return self.peers.better_connected()
         machine = self.base.cluster_state.machines.get(worker.name)
-        # Machines that are new report to one controller for each type, so that one adopts them together.
+        # New machines of a type and zone report to the same controller, which can add them to groups together.
         key = machine.group if machine is not None else f"{report.type}.{report.zone}"
         foreman = self.presence.foreman(key)
         if foreman == self.base.settings.host_name:
             elsewhere = self.peers.given_up(key)
             if elsewhere is not None:
-                # Alone with its workers it sends them on once others tend them: one that is back stays.
-                worker.sticks_until_us = now + STICK_US
+                # A controller cut off from its peers redirects its workers once others own them.  Workers that come
+                # back are kept.
+                worker.keep_until_us = now + KEEP_WORKER_US
             return self.peers.better_connected() or elsewhere
-        if SECOND_US // 2 < now - worker.sent_away_us < 20 * SECOND_US:
-            # It was sent there a moment ago and is back: it cannot reach that controller.
-            worker.sticks_until_us = now + STICK_US
+        if SECOND_US // 2 < now - worker.redirected_us < 20 * SECOND_US:
+            # The worker was redirected there a moment ago and is back, so it cannot reach that controller.
+            worker.keep_until_us = now + KEEP_WORKER_US
             return None
         return foreman
 
-    def _learn(self, worker: Worker, report: Report, direct: bool = False) -> None:
-        freed_late = self._may_be_freed_late(worker, report)
-        self._watch(worker, report)
+    def _take_report(self, worker: Worker, report: Report, direct: bool = False) -> None:
+        """Update what is known of a worker from its newest report, and claim it with a new token where needed.
+
+        `direct` says that the report came in the answer to a direct order.
+        """
+        stale_fold = self._stale_fold_possible(worker, report)
+        self._observe_tasks(worker, report)
         worker.report = report
         if report.token >= 1 << 64:
             return
         machine = self.base.cluster_state.machines.get(worker.name)
-        signed = machine.record.token if machine is not None else 0
-        # A machine that ended and is back has forgotten its token, and a controller that has started since knows of
-        # none: one below the record's could never be signed, and what the machine holds would stand for ever (3).
-        if worker.token == 0 or freed_late or max(report.token, signed) > worker.token:
-            worker.token = self._next_token(max(report.token, worker.token, signed))
-            worker.exact = False
+        recorded_token = machine.record.token if machine is not None else 0
+        # A restarted machine has forgotten its token, and a restarted controller knows of none.  A token below that
+        # in the record could never be written there, and the machine's allocations would never be freed (point 3).
+        if worker.token == 0 or stale_fold or max(report.token, recorded_token) > worker.token:
+            worker.token = self._next_token(max(report.token, worker.token, recorded_token))
+            worker.token_confirmed = False
         else:
-            worker.exact = report.token == worker.token
-        if worker.answered is not None and not direct and (report.session, report.tick) > worker.answered:
-            # The worker sends its next report once it has taken or given up the answer to this one.
-            worker.answered = worker.underway = None
-        if worker.underway is not None and worker.underway.void_after(report):
-            worker.underway = None
-        self.kernel.fire(self.delivery.learnt)
+            worker.token_confirmed = report.token == worker.token
+        if (
+            worker.answered_report is not None
+            and not direct
+            and (report.session, report.tick) > worker.answered_report
+        ):
+            # The worker sends a later report only once it has processed or given up the answer to that report.
+            worker.answered_report = worker.outstanding = None
+        if worker.outstanding is not None and worker.outstanding.superseded_by(report):
+            worker.outstanding = None
+        self.kernel.fire(self.delivery.worker_updated)
         if report.notice_us is not None:
-            self._note_notice(worker, report.notice_us)
+            self._record_notice(worker, report.notice_us)
 
-    def _may_be_freed_late(self, worker: Worker, report: Report) -> bool:
-        """Whether a fold that is on its way may free what a machine that has begun anew would be told to start again.
+    def _stale_fold_possible(self, worker: Worker, report: Report) -> bool:
+        """Return whether a fold that was built before may free tasks that a restarted machine is told to start again.
 
-        Safety point 3: the tasks that its last report listed as ended still have their places here.  A new token has
-        to be written into the record before any order, and a fold that was built before fails by version then.
+        Safety point 3: this is so if tasks that its last report listed as ended still have allocations here.  The
+        worker then needs a new token.  That token has to be written into the record before any order is sent, and
+        this write makes the earlier fold fail, because the record's version has changed.
         """
         last = worker.report
         machine = self.base.cluster_state.machines.get(worker.name)
         if last is None or machine is None:
             return False
-        # A machine that ended and is back has forgotten its token, and counts its sessions from the start.
+        # A restarted machine has forgotten its token and counts its sessions from the start.
         if report.session == last.session and report.token >= last.token:
             return False
         return any(
-            (seen := last.tasks.get((hold.job, hold.attempt, task))) is not None and seen.state == "ended"
-            for hold in machine.holds
-            for task in hold.tasks
+            (seen := last.tasks.get((allocation.job, allocation.attempt, task))) is not None and seen.state == "ended"
+            for allocation in machine.holds
+            for task in allocation.tasks
         )
 
-    def _note_notice(self, worker: Worker, notice_us: int) -> None:
-        """Note when the cloud takes a machine; the earliest time counts, for a report may have come late."""
+    def _record_notice(self, worker: Worker, notice_us: int) -> None:
+        """Note when the cloud takes a machine away; the earliest time counts, because a report may come late."""
         until_us = self.kernel.now_us + notice_us
-        if worker.notice_until_us is None:
-            self.kernel.log("info", f"{worker.name} goes in {notice_us / SECOND_US:.0f} s")
-            worker.notice_until_us = until_us
-        worker.notice_until_us = min(worker.notice_until_us, until_us)
-
-    def _watch(self, worker: Worker, report: Report) -> None:
-        """Learn run times from what has changed since the last report."""
-        # Only a report that carried this process's token was surely no old one: after any other, what runs by now may
-        # have begun at any time.
-        old = worker.report.tasks if worker.report is not None and worker.exact else None
-        started = self.pace.watch.report(worker.name, worker.began, old, report.tasks, self.kernel.now_us)
+        if worker.terminates_us is None:
+            self.kernel.log("info", f"{worker.name} will be taken away by the cloud in {notice_us / SECOND_US:.0f} s")
+            worker.terminates_us = until_us
+        worker.terminates_us = min(worker.terminates_us, until_us)
+
+    def _observe_tasks(self, worker: Worker, report: Report) -> None:
+        """Learn run times of tasks from what has changed since the last report."""
+        # Only a last report with this process's token is certain to be recent.  After any other, a task that runs now
+        # may have begun at any time.
+        old = worker.report.tasks if worker.report is not None and worker.token_confirmed else None
+        started = self.pace.watch.report(worker.name, worker.running_since_us, old, report.tasks, self.kernel.now_us)
         machine = self.base.cluster_state.machines.get(worker.name)
         holds = machine.holds if machine is not None else []
         for job_id, attempt, _ in started:
             job = self.base.cluster_state.jobs.get(job_id)
-            hold = next((h for h in holds if (h.job, h.attempt) == (job_id, attempt)), None)
-            if job is not None and hold is not None:
-                self.pace.watch.started(job, self.kernel.wall_us - hold.record.placed_us)
+            allocation = next((h for h in holds if (h.job, h.attempt) == (job_id, attempt)), None)
+            if job is not None and allocation is not None:
+                self.pace.watch.started(job, self.kernel.wall_us - allocation.record.placed_us)
 
     def _next_token(self, above: int) -> int:
-        # The low digits are this process's own and its counter only rises, so no token is given out twice,
-        # not even when a report that was held back shows one from before.
+        """Return a new ownership token that is higher than `above`."""
+        # The low bits identify this process and its counter only grows, so no token is issued twice, not even when a
+        # delayed report carries an older token.
         self._counter = max(self._counter, above >> TOKEN_SHIFT) + 1
         return self._counter << TOKEN_SHIFT | self.presence.incarnation
 
-    # Tending: fold what is learnt, tell what is to do
+    # Reconciliation: compare reports with records, fold the reports and send orders
 
-    def tend(self, worker: Worker) -> None:
-        """See to a worker: compare its report with its record, and send the orders that follow."""
-        worker.again = True
-        if not worker.tending and self._needs(worker):
-            self.kernel.spawn(self._tend(worker))
+    def reconcile(self, worker: Worker) -> None:
+        """Compare a worker's report with its machine's record, and send the orders that follow."""
+        worker.reconcile_again = True
+        if not worker.reconciling and self._needs_orders(worker):
+            self.kernel.spawn(self._reconcile_worker(worker))
 
     def tend_all(self, names: Iterable[str]) -> None:
-        """These machines' part of the cluster state has changed: see to their workers."""
+        """Reconcile the workers of machines whose part of the cluster state has changed."""
         for name in names:
             worker = self.workers.get(name)
             if worker is not None:
-                worker.settled = worker.quiet = None
+                worker.in_sync = worker.in_sync_and_folded = None
                 if worker.token and worker.report is not None:
-                    self.tend(worker)
+                    self.reconcile(worker)
 
-    def _needs(self, worker: Worker) -> bool:
-        """Compare report and record; says whether there is anything to tell the worker directly."""
+    def _needs_orders(self, worker: Worker) -> bool:
+        """Compare report and record, and mark the machine for a fold; returns whether to send orders directly."""
         report = worker.report
         if not worker.token or report is None:
             return False
@@ -245,229 +278,253 @@
         machine = self.base.cluster_state.machines.get(worker.name)
         if machine is None:
             return False
-        quiet = worker.quiet if report.notice_us is None else None
-        if quiet and quiet[0] is machine and self._owns(worker, machine) and quiet[1].tasks == report.tasks:
-            # It says nothing new, as nearly all reports do; a notice runs out even so.
+        unchanged = worker.in_sync_and_folded if report.notice_us is None else None
+        if (
+            unchanged
+            and unchanged[0] is machine
+            and self._owns(worker, machine)
+            and unchanged[1].tasks == report.tasks
+        ):
+            # Nearly all reports say nothing new.  A machine with a notice is always compared, because its remaining
+            # time decides when tasks save.
             return False
-        news = self._see(worker, machine, report)
+        needs_fold = self._mark_for_fold(worker, machine, report)
         if not self._owns(worker, machine):
             return False
-        direct = self.kernel.now_us >= worker.direct_bad_until_us and worker.answered is None
+        direct = self.kernel.now_us >= worker.direct_backoff_until_us and worker.answered_report is None
         if not direct:
             return False
-        told = bool(self._review(worker, machine))
-        if not told and not news:
-            worker.quiet = worker.settled
-        return told
+        has_orders = bool(self._compute_orders(worker, machine))
+        if not has_orders and not needs_fold:
+            worker.in_sync_and_folded = worker.in_sync
+        return has_orders
 
     def _owns(self, worker: Worker, machine: Machine) -> bool:
-        return worker.exact and machine.record.token == worker.token
+        """Return whether the worker's newest report and its machine's record both carry this controller's token."""
+        return worker.token_confirmed and machine.record.token == worker.token
 
-    def _tend(self, worker: Worker) -> Fiber[None]:
-        if worker.tending:
+    def _reconcile_worker(self, worker: Worker) -> Fiber[None]:
+        """Send a worker its orders, and again if something has changed meanwhile, up to four times."""
+        if worker.reconciling:
             return
-        worker.tending = True
+        worker.reconciling = True
         try:
             for _ in range(4):
-                worker.again = False
-                if self._needs(worker):
-                    orders = self._review(worker, self.base.cluster_state.machines[worker.name])
+                worker.reconcile_again = False
+                if self._needs_orders(worker):
+                    orders = self._compute_orders(worker, self.base.cluster_state.machines[worker.name])
                     yield from self.delivery.deliver(worker, orders)
-                if not worker.again:
+                if not worker.reconcile_again:
                     break
         finally:
-            worker.tending = False
+            worker.reconciling = False
 
-    def _see(self, worker: Worker, machine: Machine, report: Report) -> bool:
-        """Mark a machine whose record is to be folded; says whether there is anything to fold."""
-        if not worker.exact:
+    def _mark_for_fold(self, worker: Worker, machine: Machine, report: Report) -> bool:
+        """Mark a machine for a fold if its report adds anything to its record; returns whether it does."""
+        if not worker.token_confirmed:
             return False
         cluster_state = self.base.cluster_state
         record = machine.record
-        unsigned = record.token < worker.token
+        unrecorded = record.token < worker.token
         notice = report.notice_us is not None and not record.retiring
-        news = unsigned or notice
-        # No order may be given before the token is in the record.  After all controllers have ended that is a change
-        # for each group, many times over: what runs on undisturbed is signed when there is company.
-        urgent = notice or (unsigned and not machine.holds)
-        leaves_us = self._leaves_us(worker)
-        sure = record.token == worker.token and not worker.in_flight and worker.answered is None
-        alive = sum(seen.state != "ended" for seen in report.tasks.values())
-        for hold in machine.holds:
+        needs_fold = unrecorded or notice
+        # No order may be sent before the token is in the record.  After a restart of all controllers each group needs
+        # many such writes, so for machines whose tasks just keep running the token is written with other reports.
+        urgent = notice or (unrecorded and not machine.holds)
+        time_left_us = self._time_left_us(worker)
+        absence_is_proof = record.token == worker.token and not worker.in_flight and worker.answered_report is None
+        unallocated = sum(seen.state != "ended" for seen in report.tasks.values())
+        for allocation in machine.holds:
             ended = 0
-            dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.record.stop_us)
-            for task in hold.tasks:
-                seen = report.tasks.get((hold.job, hold.attempt, task))
+            dead = allocation_is_dead(cluster_state, allocation.job, allocation.attempt, allocation.record.stop_us)
+            for task in allocation.tasks:
+                seen = report.tasks.get((allocation.job, allocation.attempt, task))
                 if seen is None:
-                    news = news or (sure and dead)
-                    urgent = urgent or (unsigned and not dead)
+                    needs_fold = needs_fold or (absence_is_proof and dead)
+                    urgent = urgent or (unrecorded and not dead)
                 elif seen.state == "ended":
                     ended += 1
-                    # A failure and the end of a job are not kept waiting for company.
+                    # Failures, and the ends of jobs below, do not wait for other reports.
                     urgent = urgent or seen.cause != "done"
                 else:
-                    alive -= 1
-                    urgent = urgent or (unsigned and dead)
-            holder = cluster_state.jobs.get(hold.job)
-            if leaves_us is not None and holder is not None and saves_now(holder, hold.record.stop_us, leaves_us):
-                news = urgent = True
+                    unallocated -= 1
+                    urgent = urgent or (unrecorded and dead)
+            owning_job = cluster_state.jobs.get(allocation.job)
+            if (
+                time_left_us is not None
+                and owning_job is not None
+                and must_save_now(owning_job, allocation.record.stop_us, time_left_us)
+            ):
+                needs_fold = urgent = True
             if ended:
-                news = True
-                if holder is not None and not cluster_state.all_done(holder):
-                    # One task that is done speaks for its gang: those heard of after it can wait for company.
-                    urgent = urgent or holder.spec.kind == "gang" or self._all_ended(holder)
-        # What is there without a hold waits for an order as well.
-        urgent = urgent or (unsigned and alive > 0)
-        if news:
-            self.fold_soon(machine, urgent)
-        return news
+                needs_fold = True
+                if owning_job is not None and not cluster_state.all_done(owning_job):
+                    # The first completed task of a gang completes the job; reports of the others can wait.
+                    urgent = urgent or owning_job.spec.kind == "gang" or self._all_ended(owning_job)
+        # Tasks without an allocation also have to be killed, which takes an order.
+        urgent = urgent or (unrecorded and unallocated > 0)
+        if needs_fold:
+            self.schedule_fold(machine, urgent)
+        return needs_fold
 
     def _all_ended(self, job: Job) -> bool:
-        """Whether the workers that report here say that all that is left of a job has ended.
+        """Return whether, by the reports that came here, all unfinished tasks of a job have ended.
 
-        For a job that others wait for, all that is left of it here: nobody else hears of that, and a lazy fold would
-        hold up the next stage.  Under the lower limits lazy folds are rare, and all that have a time are such jobs.
+        For a job that others wait for, only the tasks on workers that report here count: no other controller gets
+        these reports, and a fold that waits would delay the next stage.  Under the lower limits, where such waits are
+        long, the same holds for all jobs with a stated time.
         """
         cluster_state = self.base.cluster_state
-        alone = not (
+        needs_all_reports = not (
             job.id in cluster_state.dependencies.dependents or (self.base.limits.low and self.pace.timed(job))
         )
-        many = MANY_TASKS if alone else MANY_TIMED_TASKS
-        if job.id in cluster_state.waiting() or len(cluster_state.placed(job.id)) > many:
+        max_tasks = MAX_TASKS_TO_CHECK if needs_all_reports else MAX_TIMED_TASKS_TO_CHECK
+        if job.id in cluster_state.waiting() or len(cluster_state.placed(job.id)) > max_tasks:
             return False
-        for (name, _), hold in cluster_state.allocations.get(job.id, {}).items():
+        for (name, _), allocation in cluster_state.allocations.get(job.id, {}).items():
             worker = self.workers.get(name)
             if worker is None or worker.report is None:
-                if alone:
+                if needs_all_reports:
                     return False
                 continue
-            for task in hold.tasks:
-                seen = worker.report.tasks.get((job.id, hold.attempt, task))
+            for task in allocation.tasks:
+                seen = worker.report.tasks.get((job.id, allocation.attempt, task))
                 if seen is None or seen.state != "ended":
                     return False
         return True
 
-    def _review(self, worker: Worker, machine: Machine) -> list[dict[str, Any]]:
-        """The orders that bring a worker in line with the record of its machine; ended tasks go to `clears`."""
+    def _compute_orders(self, worker: Worker, machine: Machine) -> list[dict[str, Any]]:
+        """Return the orders that bring a worker in line with its record; clears go to `worker.clears`."""
         report = worker.report
         assert report is not None
-        if worker.settled is not None and worker.settled[0] is machine and worker.settled[1].tasks == report.tasks:
+        if worker.in_sync is not None and worker.in_sync[0] is machine and worker.in_sync[1].tasks == report.tasks:
             return []
         cluster_state = self.base.cluster_state
         kills: list[dict[str, Any]] = []
         launches: list[dict[str, Any]] = []
-        held: set[TaskKey] = set()
-        fresh = self.kernel.now_us - self.base.follower.read_us < FRESH_US
-        for hold in machine.holds:
-            dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.record.stop_us)
-            over = cluster_state.is_over(hold.job)
-            for task in hold.tasks:
-                key = (hold.job, hold.attempt, task)
-                held.add(key)
+        allocated: set[TaskKey] = set()
+        recently_read = self.kernel.now_us - self.base.follower.read_us < MAX_READ_AGE_US
+        for allocation in machine.holds:
+            dead = allocation_is_dead(cluster_state, allocation.job, allocation.attempt, allocation.record.stop_us)
+            job_is_over = cluster_state.is_over(allocation.job)
+            for task in allocation.tasks:
+                key = (allocation.job, allocation.attempt, task)
+                allocated.add(key)
                 seen = report.tasks.get(key)
                 if seen is None:
-                    if not dead and fresh:
+                    if not dead and recently_read:
                         launches.append(messages.launch(key))
                 elif dead and seen.state in ("fetching", "waiting", "running"):
-                    grace = 0 if over or hold.record.stop_us < 0 else hold.record.stop_us
+                    grace = 0 if job_is_over or allocation.record.stop_us < 0 else allocation.record.stop_us
                     kills.append(messages.kill(key, grace))
-                elif over and seen.state == "saving":
+                elif job_is_over and seen.state == "saving":
                     kills.append(messages.kill(key, 0))
         worker.clears = []
         for key, seen in report.tasks.items():
-            if key not in held:
-                # Freed before: an ended task may be forgotten now, and anything else has no right to be there.
+            if key not in allocated:
+                # Its allocation is freed: the worker may forget an ended task, and must kill any other.
                 if seen.state == "ended":
                     worker.clears.append(messages.clear(key))
                 else:
                     kills.append(messages.kill(key, 0))
         orders = (kills + launches)[:MAX_ORDERS]
-        if not orders and fresh:
-            worker.settled = (machine, report)
+        if not orders and recently_read:
+            worker.in_sync = (machine, report)
         return orders
 
     def _on_order_answer(self, worker: Worker, report: Report) -> None:
-        """Learn from the report in the answer to a direct order, which tells nothing of what went out in answers."""
-        self._learn(worker, report, direct=True)
-        worker.again = True
-        if not worker.tending:
-            self.tend(worker)
+        """Process the report in the answer to a direct order.
+
+        Such a report does not show whether the worker has received orders that went out in an answer to a report.
+        """
+        self._take_report(worker, report, direct=True)
+        worker.reconcile_again = True
+        if not worker.reconciling:
+            self.reconcile(worker)
 
     def adopt(self) -> Fiber[None]:
-        """Wait for machines that are in no group, and add them, those of one type together."""
-        if not self._strangers:
-            yield self._stranger_kick
-        yield Sleep(ADOPT_US)
+        """Wait for machines that are in no group, and add those of one type and zone to groups."""
+        if not self._unknown_machines:
+            yield self._adopt_signal
+        yield Sleep(ADOPTION_DELAY_US)
         if not (yield from self.base.follower.barrier()):
             return
-        taken: list[str] = []
+        adopted: list[str] = []
 
         def build() -> Txn | None:
             known = self.base.cluster_state.machines
-            self._strangers = {name: report for name, report in self._strangers.items() if name not in known}
+            self._unknown_machines = {
+                name: report for name, report in self._unknown_machines.items() if name not in known
+            }
             kinds: dict[tuple[str, str], dict[str, Report]] = {}
-            for name, report in self._strangers.items():
+            for name, report in self._unknown_machines.items():
                 kinds.setdefault((report.type, report.zone), {})[name] = report
             if not kinds:
                 return None
             largest = max(kinds.values(), key=len)
-            txn, taken[:] = adoption(self.base.cluster_state, largest, self.base.knobs.group_size, self.base.limits)
+            txn, adopted[:] = adoption(self.base.cluster_state, largest, self.base.knobs.group_size, self.base.limits)
             return txn
 
         if (yield from self.base.follower.commit(build, 2, Urgency.FREE, "adopt")):
-            for name in taken:
-                report = self._strangers.pop(name)
+            for name in adopted:
+                report = self._unknown_machines.pop(name)
                 self.kernel.log("info", f"{name} ({report.type}, {report.zone}) is up")
         else:
-            # Those that another controller adopts meanwhile, or that are gone, do not report here again.
-            self._strangers.clear()
+            # Machines that another controller has added meanwhile, or that are gone, do not report here again.
+            self._unknown_machines.clear()
             yield Sleep(int(self.kernel.rng.uniform(0.02, 0.2) * SECOND_US))
 
     # Folding
 
     def hurry(self) -> None:
-        """Somebody waits for the room that reports have freed here."""
+        """Fold all marked machines at once, because a job waits for capacity that their reports have freed."""
         self._urgent.update(self._dirty)
-        self.kernel.fire(self._fold_kick)
+        self.kernel.fire(self._fold_signal)
 
-    def fold_soon(self, machine: Machine, urgent: bool) -> None:
-        """Note that a machine's report is to be folded into its group's record, at once if it is urgent."""
+    def schedule_fold(self, machine: Machine, urgent: bool) -> None:
+        """Mark a machine whose report is to be folded into its group's record, at once if it is urgent."""
         self._dirty.setdefault(machine.group, set()).add(machine.name)
         if urgent:
             self._urgent.add(machine.group)
-        self.kernel.fire(self._fold_kick)
+        self.kernel.fire(self._fold_signal)
 
     def _evidence(self, group: Group) -> dict[str, Evidence]:
+        """Return the reports, by machine, of those marked machines of a group whose token is confirmed."""
         evidence = {}
         for name in self._dirty.get(group.key, group.machines):
             worker = self.workers.get(name)
-            if worker is not None and worker.token and worker.report is not None and worker.exact:
-                # While orders are on their way, what is not listed may be about to start.
-                busy = worker.in_flight or worker.answered is not None
-                evidence[name] = Evidence(worker.report, worker.token, not busy, self._leaves_us(worker))
+            if worker is not None and worker.token and worker.report is not None and worker.token_confirmed:
+                # While orders are on their way, a task that is not listed may be about to start.
+                busy = worker.in_flight or worker.answered_report is not None
+                evidence[name] = Evidence(worker.report, worker.token, not busy, self._time_left_us(worker))
         return evidence
 
-    def _leaves_us(self, worker: Worker) -> int | None:
-        return None if worker.notice_until_us is None else worker.notice_until_us - self.kernel.now_us
+    def _time_left_us(self, worker: Worker) -> int | None:
+        """Return the time until the cloud takes a worker's machine away; None if it has given no notice."""
+        return None if worker.terminates_us is None else worker.terminates_us - self.kernel.now_us
 
     def _fold(self) -> Txn | None:
+        """Return the transaction that folds all groups or the urgent ones; None if there is nothing to write."""
         cluster_state = self.base.cluster_state
         fold = Fold(self.kernel, cluster_state, self.base.limits)
-        for job in self._completed(later=False):
+        for job in self._completed_jobs(deferrable=False):
             fold.end(job)
-        # Those that were marked first come first, for not all may fit.
+        # Groups that were marked first come first, because not all may fit.
         for key, names in list(self._dirty.items()):
-            if not self._due and key not in self._urgent:
+            if not self._fold_all and key not in self._urgent:
                 continue
             group = cluster_state.groups.get(key)
             if group is not None:
                 fold.add(group, names, self._evidence(group))
-            self._unmark(key, names if group is None else fold.idle)
-        self._folded = fold
+            self._unmark(key, names if group is None else fold.unchanged)
+        self._last_fold = fold
         return fold.transaction()
 
     def light(self, groups: Iterable[str] | None = None) -> Fold:
-        """What reports have freed here and no commit has yet: a placement in the same groups takes it along."""
+        """Return the fold of reports that change group records only, for a placement to write with its own changes.
+
+        It covers the given groups, by default all that have marked machines.
+        """
         fold = Fold(self.kernel, self.base.cluster_state, self.base.limits)
         for key in list(self._dirty) if groups is None else groups:
             group = self.base.cluster_state.groups.get(key)
@@ -476,12 +533,12 @@
         return fold
 
     def folded(self, names: set[str]) -> None:
-        """The reports of these machines are in their records now."""
+        """Unmark machines whose reports are in their records now."""
         for key in list(self._dirty):
             self._unmark(key, names)
 
     def due(self) -> set[str]:
-        """Groups whose records are to be written anyway, for their machines have something to fold."""
+        """Return the groups with marked machines, whose records are to be written anyway."""
         return set(self._dirty)
 
     def _unmark(self, group: str, names: set[str]) -> None:
@@ -490,76 +547,83 @@
             del self._dirty[group]
             self._urgent.discard(group)
 
-    def _pace_us(self) -> int:
-        """How long to wait for company: folds may take half of this controller's changes, a quarter when scarce.
+    def _fold_interval_us(self) -> int:
+        """Return the time between folds of all groups, in microseconds, which bounds their part of the write budget.
 
-        Under the lower limits a fold takes few groups and a job more changes, so it is a tenth: who needs room asks
-        for it, and placements take along what is free where they go.
+        Folds may take half of this controller's writes, or a quarter while writes are scarce.  Under the lower limits
+        a fold covers few groups and a job needs more writes, so the part is a tenth.  Jobs that need capacity ask for
+        a fold, and placements write the freed capacity of the groups that they change.
         """
         changes = self.base.store.changes
-        scarce = (10, LOW_SCARCE_US) if self.base.limits.low else (4, SCARCE_US)
-        part, most_us = scarce if changes.scarce() else (2, LAZY_US)
-        return min(int(part * self._fold_cost / max(changes.bucket.rate, 0.1) * SECOND_US), most_us)
+        scarce = (10, LOW_SCARCE_MAX_FOLD_INTERVAL_US) if self.base.limits.low else (4, SCARCE_MAX_FOLD_INTERVAL_US)
+        divisor, max_us = scarce if changes.scarce() else (2, MAX_FOLD_INTERVAL_US)
+        return min(int(divisor * self._last_fold_writes / max(changes.bucket.rate, 0.1) * SECOND_US), max_us)
 
     def fold(self) -> Fiber[None]:
         """Wait until there is something to fold, and fold it."""
-        mine = self._completed(later=False)
-        if not self._dirty and not mine:
-            yield Wait(self._fold_kick, SECOND_US // 4)
+        completed = self._completed_jobs(deferrable=False)
+        if not self._dirty and not completed:
+            yield Wait(self._fold_signal, SECOND_US // 4)
             return
-        # A job's end may wait for others while changes are scarce, but it is to show within 3 s.
-        yield Sleep(SCARCE_FOLD_US if self.base.store.changes.scarce() else FOLD_US)
-        while not self._urgent and not mine and self.kernel.now_us < self._fold_us + self._pace_us():
-            yield Wait(self._fold_kick, self._fold_us + self._pace_us() - self.kernel.now_us)
-        self._due = self.kernel.now_us >= self._fold_us + self._pace_us()
-        changes = min(len(self._dirty if self._due else self._urgent) + 1, self.base.limits.ops)
-        good = yield from self.base.follower.commit(self._fold, changes, Urgency.FREE, "fold")
-        folded = self._folded
-        if good and folded is not None:
-            self._failures = 0
-            if self._due:
-                self._fold_us = self.kernel.now_us
-                self._fold_cost = changes
-            for line in folded.lines:
+        # The end of a job may wait for others while writes are scarce, but has to be visible within 3 s.
+        yield Sleep(SCARCE_FOLD_DELAY_US if self.base.store.changes.scarce() else FOLD_DELAY_US)
+        while (
+            not self._urgent and not completed and self.kernel.now_us < self._last_fold_us + self._fold_interval_us()
+        ):
+            yield Wait(self._fold_signal, self._last_fold_us + self._fold_interval_us() - self.kernel.now_us)
+        self._fold_all = self.kernel.now_us >= self._last_fold_us + self._fold_interval_us()
+        changes = min(len(self._dirty if self._fold_all else self._urgent) + 1, self.base.limits.ops)
+        committed = yield from self.base.follower.commit(self._fold, changes, Urgency.FREE, "fold")
+        last_fold = self._last_fold
+        if committed and last_fold is not None:
+            self._failed_folds = 0
+            if self._fold_all:
+                self._last_fold_us = self.kernel.now_us
+                self._last_fold_writes = changes
+            for line in last_fold.lines:
                 self.kernel.log("info", line)
-            self.folded(folded.taken)
-        elif good is False:
-            self._failures = min(self._failures + 1, 5)
-            yield Sleep(int(self.kernel.rng.uniform(0.0, 0.03) * 2**self._failures * SECOND_US))
+            self.folded(last_fold.taken)
+        elif committed is False:
+            self._failed_folds = min(self._failed_folds + 1, 5)
+            yield Sleep(int(self.kernel.rng.uniform(0.0, 0.03) * 2**self._failed_folds * SECOND_US))
             yield from self.base.follower.barrier()
 
-    def _completed(self, later: bool) -> list[Job]:
-        """This controller's jobs all of whose tasks are done: those whose records may wait, or those that may not."""
+    def _completed_jobs(self, deferrable: bool) -> list[Job]:
+        """Return this controller's jobs whose tasks are all done.
+
+        `deferrable` selects the jobs whose records may be moved later, otherwise those to be ended at once.
+        """
         cluster_state = self.base.cluster_state
         jobs = (cluster_state.jobs[job_id] for job_id in sorted(cluster_state.completed()))
-        return [job for job in jobs if ends_later(job, self.base.limits) == later and self.presence.mine(job)]
+        return [job for job in jobs if ends_later(job, self.base.limits) == deferrable and self.presence.mine(job)]
 
     def tidy(self) -> Fiber[None]:
-        """Move the records of jobs that count as done already, when there is little else to do, or at last."""
-        jobs, now = self._completed(later=True), self.kernel.now_us
+        """Move the records of jobs that already count as done, if there is little else to write or they are late."""
+        jobs, now = self._completed_jobs(deferrable=True), self.kernel.now_us
         for job in jobs:
-            if job.id not in self._done_us:
+            if job.id not in self._completed_us:
                 self.kernel.log("info", f"{job.id} is done")
-        self._done_us = {job.id: self._done_us.get(job.id, now) for job in jobs}
+        self._completed_us = {job.id: self._completed_us.get(job.id, now) for job in jobs}
         if not jobs:
             return
-        jobs.sort(key=lambda job: self._done_us[job.id])
+        jobs.sort(key=lambda job: self._completed_us[job.id])
         changes = self.base.store.changes
         scarce = changes.scarce()
-        # What is kept in groups takes room there, but moving it costs two changes a job.
-        late = now - self._done_us[jobs[0].id] > (SCARCE_TIDY_US if scarce else TIDY_US)
-        if scarce and not late and len(jobs) < MAX_UNTIDY:
+        # Completed tasks that group records keep take space there, but moving a job's record costs two writes.
+        late = now - self._completed_us[jobs[0].id] > (SCARCE_TIDY_DELAY_US if scarce else TIDY_DELAY_US)
+        if scarce and not late and len(jobs) < MAX_UNMOVED_JOBS:
             return
-        # Never before a fold, which shows the ends of many jobs with one change.
+        # Folds always go first, because one write makes the ends of many jobs visible.
         urgency = Urgency.PLACE if late else Urgency.BOOKKEEPING
         jobs = jobs[: self.base.limits.ops // 2]
-        # No more at once than a full bucket: ends that are to show within 3 s would wait until a debt is paid.
-        most = max(int(changes.bucket.rate * changes.bucket.burst_s) // 2, 1)
-        for first in range(0, len(jobs), most):
-            yield from self._move(jobs[first : first + most], urgency)
+        # At most a full token bucket of writes at once.  Otherwise ends of jobs, which have to be visible within 3 s,
+        # would wait until the bucket is out of debt.
+        batch_size = max(int(changes.bucket.rate * changes.bucket.burst_s) // 2, 1)
+        for first in range(0, len(jobs), batch_size):
+            yield from self._move(jobs[first : first + batch_size], urgency)
 
     def _move(self, jobs: list[Job], urgency: Urgency) -> Fiber[None]:
-        """Move the records of jobs that count as done, two changes each."""
+        """Move the records of jobs that count as done, with two writes for each."""
 
         def build() -> Txn | None:
             fold = Fold(self.kernel, self.base.cluster_state, self.base.limits)
@@ -571,15 +635,15 @@
         yield from self.base.follower.commit(build, min(2 * len(jobs), self.base.limits.ops), urgency, "tidy")
 
     def heard_us(self) -> dict[str, int]:
-        """When each worker that reports here was last heard."""
+        """Return when each worker that reports here was last heard."""
         return {worker.name: worker.heard_us for worker in self.workers.values() if worker.heard_us}
 
     def sweep(self) -> Fiber[None]:
-        """Forget workers that have long been silent."""
+        """Forget workers that have neither reported nor been redirected for 120 s."""
         limit = 120 * SECOND_US
         since_us = self.kernel.now_us - limit
-        for name in [w.name for w in self.workers.values() if max(w.heard_us, w.sent_away_us) < since_us]:
-            if not self.workers[name].tending:
+        for name in [w.name for w in self.workers.values() if max(w.heard_us, w.redirected_us) < since_us]:
+            if not self.workers[name].reconciling:
                 del self.workers[name]
         return
         yield
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -1,4 +1,8 @@
-"""Folding: what a group's owners have learnt of its machines becomes one change of its record."""
+"""Folds: transactions that write what workers reported into group records.
+
+A fold applies the reports of a group's machines to the group's record: it frees the resources of ended tasks, notes
+completed tasks and failures, and records ownership tokens.  Where needed it also writes the records of the jobs.
+"""
 
 from __future__ import annotations
 
@@ -17,58 +21,63 @@
 from ashtray.workers.messages import Report, TaskState
 
 SAVE_LEAD_US = 5 * SECOND_US
-"""A report may be three seconds away, and a commit one more."""
+"""How much earlier than necessary a save is ordered: a report may be three seconds away, and a commit one more."""
 DONE_SHARE = 0.125
-"""A job whose completed tasks would take more of a group's record has them written into its own."""
+"""If a job's completed tasks take more than this part of the value size limit, they go into the job's own record."""
 
 NEW_MACHINE_BYTES = 120
+"""What a new machine adds to a group's record."""
 FULL_SHARE = 0.6
-"""A group that takes this part of a value gets no more machines."""
-FULL_BYTES, LEAN_BYTES = (450, 110), (70, 28)
-"""What a machine and a hold take of a record, with images and completed tasks: in full and in lean form."""
-SIGNED_BYTES = 60
-"""What a new token, an address and a flag may add to a machine's part."""
-CPUS_PER_HOLD = 16
-MAX_FAILED = 6
-"""So many jobs that failed on a machine, and machines that a job failed on, are remembered."""
-MOST_MACHINES = 32
-"""In a group, however much a value holds: all controllers write the same records, each change of one is read by all
-of them, and all its workers report to one.  Tried on simulated days of 830 machines: 48 and 120 spared changes, but
-reading a record of 48 takes 1.0 ms of processor time, and with 120 conflicts took what was spared.
+"""A group whose record takes this part of the value size limit gets no more machines."""
+FULL_FORM_BYTES, COMPACT_FORM_BYTES = (450, 110), (70, 28)
+"""Bytes of a record for each machine and each allocation, with images and completed tasks: full and compact form."""
+TOKEN_UPDATE_BYTES = 60
+"""What a new token, an address and a flag may add to a machine's part of a record."""
+CPUS_PER_ALLOCATION = 16
+"""The CPUs that an allocation is expected to take on average, for estimates of record sizes."""
+MAX_REMEMBERED_FAILURES = 6
+"""How many jobs that failed on a machine, and how many machines that a job failed on, are remembered."""
+MAX_GROUP_MACHINES = 32
+"""The most machines in a group, however many fit into a value.
+
+All controllers write to the same records and read every change of each record, and all workers of a group report to
+one controller.  With 830 machines in total, larger groups need fewer writes, but reading a record of 48 machines
+takes 1.0 ms of processor time, and with 120 machines in a group conflicting writes cost as many as were saved.
 """
 GROUP_SHARE = 0.7
-"""Of a value, what a group's machines may be expected to take: estimates of their records' sizes."""
+"""The part of the value size limit that the estimated records of a group's machines may take."""
 SPILL_SHARE = 0.75
-"""Nor does a group whose record takes more than this part of a value keep any more of them."""
+"""If a group's record takes more than this part of the value size limit, completed tasks go into jobs' records."""
 
 
 @dataclass
 class JobFold:
-    """What a fold changes in one job's record."""
+    """What a fold changes in one job's record, or adds to the job's completed tasks in a group's record."""
 
     finished: set[int] = field(default_factory=set)
     broken: int = 0
+    """The last attempt of a gang that has lost a task; 0 if none has."""
     errors: int = 0
     failed_on: set[str] = field(default_factory=set)
     successes: int = 0
     ends: bool = False
-    """The job is to be ended now, with all of its tasks known to be done."""
-    spilt: bool = False
-    """What completed is written into the job's own record, not into the group's."""
+    """Whether the job is to be ended now, because all of its tasks are known to be done."""
+    spilled: bool = False
+    """Whether completed tasks are written into the job's own record instead of the group's."""
 
     def add(self, other: JobFold) -> None:
-        """Add what another fold of the same job says."""
+        """Add the changes of another fold of the same job."""
         self.finished |= other.finished
         self.broken = max(self.broken, other.broken)
         self.errors += other.errors
         self.failed_on |= other.failed_on
         self.successes += other.successes
-        self.spilt = self.spilt or other.spilt
+        self.spilled = self.spilled or other.spilled
         self.ends = self.ends or other.ends
 
 
 def allocation_is_dead(cluster_state: ClusterState, job_id: str, attempt: int, stop_us: int) -> bool:
-    """Whether a hold's tasks are not to be started any more."""
+    """Return whether the tasks of an allocation must not be started any more."""
     job = cluster_state.jobs.get(job_id)
     if job is None or stop_us >= 0 or attempt <= job.record.broken:
         return True
@@ -77,17 +86,17 @@
 
 @dataclass
 class Evidence:
-    """A worker's newest report, heard by its owner.
+    """A worker's newest report, which carries the token of the controller that received it.
 
-    `exact` says that it carries exactly this controller's token: no order of an earlier owner can be executed
-    after it, so a task that it does not list is surely not there.
+    The worker executes no orders of earlier owners after such a report.  `proves_absence` says that this controller
+    has no orders outstanding either, so a task that the report does not list is not on the machine.
     """
 
     report: Report
     token: int
-    exact: bool
-    leaves_us: int | None = None
-    """The time until the cloud takes the machine away, if it has said so."""
+    proves_absence: bool
+    time_left_us: int | None = None
+    """Microseconds until the cloud takes the machine away, if it has given notice."""
 
 
 def fold_machine(
@@ -96,80 +105,81 @@
     record: MachineRecord,
     evidence: Evidence,
     folds: dict[str, JobFold],
-    later: Container[str] = (),
+    deferred_jobs: Container[str] = (),
 ) -> bool:
-    """Apply a report to a copy of a machine's record, but for some jobs; says whether anything changed."""
+    """Apply a report to a copy of a machine's record, but for `deferred_jobs`; returns whether anything changed."""
     if record.token > evidence.token:
-        # A later owner has signed since (safety, point 3).  In the machine's next session it may have started anew,
-        # under the same attempt, what this report lists as ended.
+        # A later owner has recorded its token (safety point 3).  In the worker's next session it may have started
+        # tasks again, under the same attempt, that this report lists as ended.
         return False
     changed = False
     report = evidence.report
-    if evidence.exact and record.token < evidence.token:
+    if evidence.proves_absence and record.token < evidence.token:
         record.token = evidence.token
         record.address = report.address
         changed = True
     if report.notice_us is not None and not record.retiring:
         record.retiring = True
         changed = True
-    # While orders are on their way, absence is no evidence, and the token is not written either.
-    sure = evidence.exact and record.token == evidence.token
+    # While orders are on their way, a task that is not listed may be about to start, and the token is not written.
+    absence_is_proof = evidence.proves_absence and record.token == evidence.token
     kept = []
-    for hold, known in zip(record.holds, machine.holds, strict=True):
-        if hold.job in later:
-            kept.append(hold)
+    for allocation, current in zip(record.holds, machine.holds, strict=True):
+        if allocation.job in deferred_jobs:
+            kept.append(allocation)
             continue
-        tasks = known.tasks
-        dead = allocation_is_dead(cluster_state, hold.job, hold.attempt, hold.stop_us)
-        left = set()
+        tasks = current.tasks
+        dead = allocation_is_dead(cluster_state, allocation.job, allocation.attempt, allocation.stop_us)
+        remaining = set()
         for task in tasks:
-            seen: TaskState | None = report.tasks.get((hold.job, hold.attempt, task))
+            seen: TaskState | None = report.tasks.get((allocation.job, allocation.attempt, task))
             if seen is not None and seen.state == "ended":
-                note_end(cluster_state, machine.name, record, hold, task, seen.cause, folds)
-            elif seen is None and dead and sure:
-                note_end(cluster_state, machine.name, record, hold, task, "absent", folds)
+                record_task_end(cluster_state, machine.name, record, allocation, task, seen.cause, folds)
+            elif seen is None and dead and absence_is_proof:
+                record_task_end(cluster_state, machine.name, record, allocation, task, "absent", folds)
             else:
-                left.add(task)
-        if len(left) < len(tasks):
+                remaining.add(task)
+        if len(remaining) < len(tasks):
             changed = True
-            hold.tasks = encode_runs(left)
-        if left:
-            job = cluster_state.jobs.get(hold.job)
-            if job is not None and saves_now(job, hold.stop_us, evidence.leaves_us):
-                hold.stop_us = job.spec.save_us
+            allocation.tasks = encode_runs(remaining)
+        if remaining:
+            job = cluster_state.jobs.get(allocation.job)
+            if job is not None and must_save_now(job, allocation.stop_us, evidence.time_left_us):
+                allocation.stop_us = job.spec.save_us
                 changed = True
-            kept.append(hold)
+            kept.append(allocation)
     record.holds = kept
     return changed
 
 
-def saves_now(job: Job, stop_us: int, leaves_us: int | None) -> bool:
-    """Whether tasks are to save now because their machine goes: as late as it can be told, saved and reported.
+def must_save_now(job: Job, stop_us: int, time_left_us: int | None) -> bool:
+    """Return whether tasks must save a checkpoint now because the cloud takes their machine away.
 
-    A gang is stopped as a whole, which one machine's owner cannot do: the fleet's runner sees to it.
+    This is as late as there is still time for the order, the checkpoint and the report.  A gang has to be stopped as
+    a whole, which the owner of one machine cannot do; the fleet leader does it.
     """
     spec = job.spec
-    if leaves_us is None or stop_us >= 0 or not spec.checkpoint_us or spec.kind == "gang":
+    if time_left_us is None or stop_us >= 0 or not spec.checkpoint_us or spec.kind == "gang":
         return False
-    return spec.save_us <= leaves_us <= spec.save_us + SAVE_LEAD_US
+    return spec.save_us <= time_left_us <= spec.save_us + SAVE_LEAD_US
 
 
-def note_end(
+def record_task_end(
     cluster_state: ClusterState,
     name: str,
     record: MachineRecord,
-    hold: AllocationRecord,
+    allocation: AllocationRecord,
     task: int,
     cause: str | None,
     folds: dict[str, JobFold],
 ) -> None:
-    """Account for one task that has left its machine."""
-    job_id, attempt = hold.job, hold.attempt
+    """Record the end of one task in its machine's record and in the fold of its job."""
+    job_id, attempt = allocation.job, allocation.attempt
     job = cluster_state.jobs.get(job_id)
     if cause == "done":
         record.failed = []
     elif cause == "error" and job_id not in record.failed:
-        record.failed = [*record.failed, job_id][-MAX_FAILED:]
+        record.failed = [*record.failed, job_id][-MAX_REMEMBERED_FAILURES:]
     if job is None:
         return
     fold = folds.setdefault(job_id, JobFold())
@@ -177,7 +187,7 @@
         fold.successes += 1
         if job.spec.kind == "service":
             return
-        # The tasks of a gang complete together, so one that is done speaks for all.
+        # The tasks of a gang complete together, so all are done when one is.
         fold.finished |= set(range(job.spec.tasks)) if job.spec.kind == "gang" else {task}
     else:
         if cause == "error":
@@ -188,14 +198,14 @@
 
 
 def end_job(txn: Txn, job: Job, status: str, done: int, at_us: int) -> Txn:
-    """Move a job's record to where final states are kept."""
+    """Add to a transaction the move of a job's record to the final states; returns the transaction."""
     over = job.over(status, done, at_us)
     return txn.guard(LIVE + job.id, job.version).remove(LIVE + job.id).put(OVER + job.id, over)
 
 
 def put_job(kernel: Kernel, cluster_state: ClusterState, txn: Txn, job: Job, fold: JobFold) -> bool:
-    """Add a job's change to a transaction; says whether the job is done with it."""
-    if ends_with(cluster_state, job, fold):
+    """Add the changes of a job's record to a transaction; returns whether they complete the job."""
+    if completes_job(cluster_state, job, fold):
         end_job(txn, job, "done", job.spec.tasks, kernel.wall_us)
         return True
     txn.guard(LIVE + job.id, job.version)
@@ -205,11 +215,11 @@
     elif fold.errors:
         errors += 1
         failed_on = [name for name in failed_on if name not in fold.failed_on]
-        failed_on = [*failed_on, *sorted(fold.failed_on)][-MAX_FAILED:]
+        failed_on = [*failed_on, *sorted(fold.failed_on)][-MAX_REMEMBERED_FAILURES:]
     txn.put(
         LIVE + job.id,
         job.value(
-            finished=job.finished | fold.finished if fold.spilt else None,
+            finished=job.finished | fold.finished if fold.spilled else None,
             broken=max(job.record.broken, fold.broken),
             errors=errors,
             error_us=kernel.wall_us if fold.errors else job.record.error_us,
@@ -219,10 +229,10 @@
     return False
 
 
-def ends_with(cluster_state: ClusterState, job: Job, fold: JobFold) -> bool:
-    """Whether all tasks of a job are done.
+def completes_job(cluster_state: ClusterState, job: Job, fold: JobFold) -> bool:
+    """Return whether all tasks of a job are done, including those that the fold adds.
 
-    Tasks once done stay done, so a late cluster state can only make a job end later.
+    Completed tasks stay completed, so an outdated cluster state can only make a job end later.
     """
     if job.spec.kind == "service":
         return False
@@ -232,21 +242,21 @@
 
 
 def ends_later(job: Job, limits: Limits) -> bool:
-    """Whether a job counts as done once its groups say so, though its record is moved only later.
+    """Return whether a job counts as done once the group records say so, while its own record is moved later.
 
-    Moving it costs two changes, and for nothing but tidiness.  A cancellation meanwhile has to guard the groups with
+    Moving the record costs two writes, which can wait.  Until then a cancellation has to guard the groups that have
     the job's tasks, so the job must be small enough for that.
     """
     return job.spec.kind != "service" and job.spec.tasks <= most_later(limits)
 
 
 def most_later(limits: Limits) -> int:
-    """Of how many tasks such a job may be."""
+    """Return how many tasks a job may have at most if its record is moved later."""
     return min(MOST_LATER, limits.least_guards - 2)
 
 
 class Fold:
-    """One transaction that folds as much as fits of what is known of some machines."""
+    """One transaction that writes as many reports of some machines as fit into their records."""
 
     def __init__(self, kernel: Kernel, cluster_state: ClusterState, limits: Limits) -> None:
         self.kernel = kernel
@@ -254,36 +264,37 @@
         self.limits = limits
         self.jobs: dict[str, JobFold] = {}
         self.lines: list[str] = []
-        self.idle: set[str] = set()
-        """Machines whose reports say nothing that their records do not."""
+        self.unchanged: set[str] = set()
+        """Machines whose reports add nothing to their records."""
         self.taken: set[str] = set()
+        """Machines whose reports are part of this transaction."""
         self.freed: dict[str, tuple[float, float, float]] = {}
-        """The room that light folds free, by machine."""
+        """The CPUs, GPUs and GB of memory that light folds free on each machine."""
         self.edits: dict[str, GroupEdit] = {}
         self._ops = 0
         self._bytes = 0
         self._sizes: dict[str, int] = {}
 
     def add(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
-        """Fold the reports of some of a group's machines, as far as there is room for the changes."""
+        """Fold the reports of some of a group's machines, as far as the changes fit into the transaction."""
         edit = GroupEdit(group)
-        for name, machine, known in self._reported(group, names, evidence):
-            for full in (False, True):
-                # Where what completed would make the record too large, it goes into the jobs' own.
-                spills = full or self._full(group)
+        for name, machine, machine_evidence in self._with_reports(group, names, evidence):
+            for force_spill in (False, True):
+                # If completed tasks would make the group's record too large, they go into the jobs' own records.
+                spills = force_spill or self._nearly_full(group)
                 record = edit.copy_of(name)
-                trial: dict[str, JobFold] = {}
-                if not fold_machine(self.cluster_state, machine, record, known, trial):
-                    self.idle.add(name)
+                job_folds: dict[str, JobFold] = {}
+                if not fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds):
+                    self.unchanged.add(name)
                     break
-                # A job that ends may cost two changes: more than a transaction takes are folded in turns.
-                costly = [job_id for job_id, fold in trial.items() if self._ops_of(job_id, fold, edit, spills)]
-                later = set(costly[max((self.limits.ops - 1) // 2, 1) :])
-                if later:
-                    record, trial = edit.copy_of(name), {}
-                    fold_machine(self.cluster_state, machine, record, known, trial, later)
-                ops = sum(self._ops_of(j, fold, edit, spills) for j, fold in trial.items())
-                after = self._size_after(edit, machine, record, trial)
+                # A job that ends may cost two operations.  Jobs that do not fit into one transaction come later.
+                costly = [job_id for job_id, fold in job_folds.items() if self._extra_ops(job_id, fold, edit, spills)]
+                deferred = set(costly[max((self.limits.ops - 1) // 2, 1) :])
+                if deferred:
+                    record, job_folds = edit.copy_of(name), {}
+                    fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds, deferred)
+                ops = sum(self._extra_ops(j, fold, edit, spills) for j, fold in job_folds.items())
+                after = self._size_after(edit, machine, record, job_folds)
                 if not self.limits.takes(after, len(group.machines) == 1 and after < group.size):
                     continue
                 ops += group.key not in self.edits
@@ -292,191 +303,208 @@
                     break
                 self._ops += ops
                 self._bytes += size
-                self._keep(edit, name, record, trial, after)
+                self._include(edit, name, record, job_folds, after)
                 break
 
     def add_light(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
-        """Fold those reports that change their group's record only."""
+        """Fold the reports that change only the group's record, not that of any job."""
         edit = GroupEdit(group)
-        for name, machine, known in self._reported(group, names, evidence):
+        for name, machine, machine_evidence in self._with_reports(group, names, evidence):
             record = edit.copy_of(name)
-            trial: dict[str, JobFold] = {}
-            if not fold_machine(self.cluster_state, machine, record, known, trial):
+            job_folds: dict[str, JobFold] = {}
+            if not fold_machine(self.cluster_state, machine, record, machine_evidence, job_folds):
                 continue
-            if any(self._ops_of(job_id, fold, edit, self._full(group)) for job_id, fold in trial.items()):
+            if any(
+                self._extra_ops(job_id, fold, edit, self._nearly_full(group)) for job_id, fold in job_folds.items()
+            ):
                 continue
-            after = self._size_after(edit, machine, record, trial)
+            after = self._size_after(edit, machine, record, job_folds)
             if not self.limits.takes(after):
                 continue
-            self._keep(edit, name, record, trial, after)
-            kept = [len(decode_runs(hold.tasks)) for hold in record.holds]
+            self._include(edit, name, record, job_folds, after)
+            kept = [len(decode_runs(allocation.tasks)) for allocation in record.holds]
             self.freed[name] = (
-                machine.cpus - sum(n * hold.cpus for n, hold in zip(kept, record.holds, strict=True)),
-                machine.gpus - sum(n * hold.gpus for n, hold in zip(kept, record.holds, strict=True)),
-                machine.memory_gb - sum(n * hold.memory_gb for n, hold in zip(kept, record.holds, strict=True)),
+                machine.cpus - sum(n * allocation.cpus for n, allocation in zip(kept, record.holds, strict=True)),
+                machine.gpus - sum(n * allocation.gpus for n, allocation in zip(kept, record.holds, strict=True)),
+                machine.memory_gb
+                - sum(n * allocation.memory_gb for n, allocation in zip(kept, record.holds, strict=True)),
             )
 
-    def _reported(
+    def _with_reports(
         self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]
     ) -> Iterator[tuple[str, Machine, Evidence]]:
-        """The machines with something to fold; none of a group that is being moved, for its record is not written."""
+        """Yield the machines with a report to fold; none while the group is split, when its record is not written."""
         if group.moving:
             return
         for name in sorted(names):
-            machine, known = group.machines.get(name), evidence.get(name)
-            if machine is None or known is None:
-                self.idle.add(name)
+            machine, machine_evidence = group.machines.get(name), evidence.get(name)
+            if machine is None or machine_evidence is None:
+                self.unchanged.add(name)
             else:
-                yield name, machine, known
+                yield name, machine, machine_evidence
 
     def _size(self, group: Group) -> int:
-        """What a group's record will take, so far."""
+        """Return the bytes of a group's record with what was folded into it so far."""
         return self._sizes.get(group.key, group.size)
 
-    def _full(self, group: Group) -> bool:
+    def _nearly_full(self, group: Group) -> bool:
         return self._size(group) > self.limits.value_bytes * SPILL_SHARE
 
     def _size_after(self, edit: GroupEdit, machine: Machine, record: MachineRecord, folds: dict[str, JobFold]) -> int:
-        """What a group's record takes with one machine's report; while there is room, more rather than less."""
+        """Return the bytes of a group's record with one machine's report, or an upper bound if that fits."""
         done = dict(edit.done)
-        rough = self._size(edit.group) + SIGNED_BYTES + sum(len(hold.tasks) for hold in record.holds)
+        upper_bound = (
+            self._size(edit.group) + TOKEN_UPDATE_BYTES + sum(len(allocation.tasks) for allocation in record.holds)
+        )
         for job_id, fold in folds.items():
-            if fold.spilt:
+            if fold.spilled:
                 done.pop(job_id, None)
             elif fold.finished:
                 done[job_id] = edit.with_done(job_id, fold.finished)
-                rough += len(job_id) + len(done[job_id]) + 6
-            rough += len(job_id) + 6 if fold.errors else 0
-        if self.limits.takes(rough):
-            return rough
+                upper_bound += len(job_id) + len(done[job_id]) + 6
+            upper_bound += len(job_id) + 6 if fold.errors else 0
+        if self.limits.takes(upper_bound):
+            return upper_bound
         return edit.size_with(machine.name, record, done, self.limits)
 
-    def _keep(self, edit: GroupEdit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int) -> None:
-        """Make what a machine's report says a part of this transaction."""
+    def _include(
+        self, edit: GroupEdit, name: str, record: MachineRecord, folds: dict[str, JobFold], size: int
+    ) -> None:
+        """Make one machine's report a part of this transaction."""
         edit.replace(name, record)
         self.edits[edit.group.key] = edit
         self._sizes[edit.group.key] = size
         self.taken.add(name)
         for job_id, fold in folds.items():
             self.jobs.setdefault(job_id, JobFold()).add(fold)
-            if fold.spilt:
+            if fold.spilled:
                 edit.done.pop(job_id, None)
             elif fold.finished:
                 edit.add_done(job_id, fold.finished)
 
-    def _ops_of(self, job_id: str, fold: JobFold, edit: GroupEdit, full: bool) -> int:
-        """How many more changes a job's part costs; the end of one, its short record and its removal, costs two."""
+    def _extra_ops(self, job_id: str, fold: JobFold, edit: GroupEdit, nearly_full: bool) -> int:
+        """Return how many more operations a job needs; the end of a job needs two, to write its end and to remove it.
+
+        Marks the fold as spilled where completed tasks have to go into the job's own record.
+        """
         job = self.cluster_state.jobs[job_id]
-        both = JobFold()
-        before = self.jobs.get(job_id)
-        if before is not None:
-            both.add(before)
-        both.add(fold)
-        # What completed goes into the job's own record, with what the group kept of it, where it fills the group's.
+        combined = JobFold()
+        previous = self.jobs.get(job_id)
+        if previous is not None:
+            combined.add(previous)
+        combined.add(fold)
+        # If completed tasks take too much of the group's record, all those that it has go into the job's own record.
         if fold.finished and job.spec.kind != "gang":
             large = len(edit.with_done(job_id, fold.finished)) > self.limits.value_bytes * DONE_SHARE
-            fold.spilt = both.spilt or large or full
-        if fold.spilt:
+            fold.spilled = combined.spilled or large or nearly_full
+        if fold.spilled:
             fold.finished |= decode_runs(edit.done.get(job_id, ""))
-            both.finished |= fold.finished
-            both.spilt = True
-        return self._cost(job, both) - (self._cost(job, before) if before is not None else 0)
+            combined.finished |= fold.finished
+            combined.spilled = True
+        return self._op_count(job, combined) - (self._op_count(job, previous) if previous is not None else 0)
 
-    def _cost(self, job: Job, fold: JobFold) -> int:
-        writes = self._writes(job, fold)
-        if ends_with(self.cluster_state, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
+    def _op_count(self, job: Job, fold: JobFold) -> int:
+        writes = self._changes_job_record(job, fold)
+        if completes_job(self.cluster_state, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
             return 2
         return 1 if writes else 0
 
-    def _writes(self, job: Job, fold: JobFold) -> bool:
-        return bool(fold.spilt or fold.broken or fold.errors or (fold.successes and job.record.errors))
+    def _changes_job_record(self, job: Job, fold: JobFold) -> bool:
+        return bool(fold.spilled or fold.broken or fold.errors or (fold.successes and job.record.errors))
 
     def end(self, job: Job) -> None:
-        """End a job all of whose tasks are known to be done: their groups may have been folded apart."""
+        """End a job whose tasks are all known to be done, as when several folds wrote the ends of its tasks."""
         if job.id not in self.jobs and self._ops + 2 <= self.limits.ops:
             self._ops += 2
             self.jobs[job.id] = JobFold(ends=True)
 
     def transaction(self) -> Txn | None:
-        """The transaction that writes all that was added; None if there is nothing to write."""
+        """Return the transaction that writes all that was added; None if there is nothing to write."""
         if not self._ops:
             return None
         txn = Txn()
         ended: set[str] = set()
         for job_id, fold in self.jobs.items():
             job = self.cluster_state.jobs[job_id]
-            if self._cost(job, fold):
+            if self._op_count(job, fold):
                 if put_job(self.kernel, self.cluster_state, txn, job, fold):
                     ended.add(job_id)
                     self.lines.append(f"{job_id} is done")
                 elif fold.broken or fold.errors:
-                    self.lines.append(f"{job_id} lost tasks: gang attempt {fold.broken}, errors {fold.errors}")
+                    self.lines.append(
+                        f"{job_id} lost tasks: failed gang attempt {fold.broken}, {fold.errors} task errors"
+                    )
 
-        def still(job_id: str) -> bool:
+        def remains_live(job_id: str) -> bool:
             return self.cluster_state.is_live(job_id) and job_id not in ended
 
         for edit in self.edits.values():
-            if not edit.write(txn, self.limits, still):
-                # Its size was worked out before: this is a fault, and must not be tried again and again.
-                raise AssertionError(f"{edit.group.key} grew over its limit")
+            if not edit.write(txn, self.limits, remains_live):
+                # The size was checked before, so this is a fault of the program, which a retry would only repeat.
+                raise AssertionError(f"the record of {edit.group.key} exceeds its size limit")
         return txn
 
 
-def group_size(kind: MachineType | None, limits: Limits) -> int:
-    """How many machines of a type share a record: as many as a value holds with the holds that they may take.
+def group_size(machine_type: MachineType | None, limits: Limits) -> int:
+    """Return how many machines of a type share a record: as many as fit into a value with their likely allocations.
 
-    Fewer, larger groups mean fewer changes, for a placement or a fold costs one for each group.
+    Fewer and larger groups need fewer writes, because a placement or a fold costs one write for each group.
     """
-    holds = max(kind.gpus / 2, kind.cpus / CPUS_PER_HOLD, 1.0) if kind is not None else 1.0
-    machine, hold = FULL_BYTES
+    allocations = (
+        max(machine_type.gpus / 2, machine_type.cpus / CPUS_PER_ALLOCATION, 1.0) if machine_type is not None else 1.0
+    )
+    machine_bytes, allocation_bytes = FULL_FORM_BYTES
     if limits.lean:
-        # One that fills up is split: it need not be small from the start.
-        machine, hold, holds = *LEAN_BYTES, max(holds / 2, 1.0)
-    fits = int(limits.value_bytes * GROUP_SHARE / (machine + holds * hold))
-    return max(min(fits, MOST_MACHINES), 1)
+        # A group that fills up is split, so it need not be small from the start.
+        machine_bytes, allocation_bytes, allocations = *COMPACT_FORM_BYTES, max(allocations / 2, 1.0)
+    fits = int(limits.value_bytes * GROUP_SHARE / (machine_bytes + allocations * allocation_bytes))
+    return max(min(fits, MAX_GROUP_MACHINES), 1)
 
 
 def most_group_size(limits: Limits) -> int:
-    """How many machines a record can be given at most, by the least value that is to come."""
+    """Return how many machines a record can have at most under the lowest value size limit to come."""
     return int(limits.least_value_bytes * FULL_SHARE / NEW_MACHINE_BYTES) + 1
 
 
 def adoption(
-    cluster_state: ClusterState, strangers: dict[str, Report], fixed: int | None, limits: Limits
+    cluster_state: ClusterState, unknown_machines: dict[str, Report], fixed_size: int | None, limits: Limits
 ) -> tuple[Txn, list[str]]:
-    """Add unknown machines of one type and zone to groups that have room, or to new ones.
+    """Return the transaction that adds unknown machines of one type and zone to groups, and the machines it adds.
 
-    The version of their type's key is guarded and raised: who passes has seen all earlier adoptions, so no machine
-    gets into two groups.
+    Groups that are not full come first, then new groups.  The transaction guards and raises the version of a key of
+    the machines' type and zone.  It succeeds only if the cluster state has all earlier adoptions, so no machine gets
+    into two groups.
     """
-    first = next(iter(strangers.values()))
-    size = fixed or group_size(cluster_state.types.get(first.type), limits)
-    full = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
-    kind = (first.type, first.zone)
+    first = next(iter(unknown_machines.values()))
+    max_machines = fixed_size or group_size(cluster_state.types.get(first.type), limits)
+    max_bytes = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
+    type_and_zone = (first.type, first.zone)
     lock = f"{ADOPTED}{first.type}.{first.zone}"
-    groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == kind)
-    open_groups = [g for g in groups if len(g.machines) < size and g.size < full and not g.moving]
+    groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == type_and_zone)
+    open_groups = [g for g in groups if len(g.machines) < max_machines and g.size < max_bytes and not g.moving]
     txn = Txn().guard(lock, cluster_state.version(lock)).put(lock, cluster_state.version(lock))
-    taken: list[str] = []
-    left = sorted(strangers)
-    room = limits.txn_bytes
+    adopted: list[str] = []
+    remaining = sorted(unknown_machines)
+    bytes_left = limits.txn_bytes
     for _ in range(limits.ops - 1):
-        if not left or room <= 0:
+        if not remaining or bytes_left <= 0:
             break
         if open_groups:
             group = open_groups.pop(0)
         else:
-            key = f"{GROUP}{first.type}.{first.zone}.{left[0]}"
+            key = f"{GROUP}{first.type}.{first.zone}.{remaining[0]}"
             while cluster_state.version(key):
                 key += "+"
             group = Group(key, {"type": first.type, "zone": first.zone, "machines": {}}, 0)
         edit = GroupEdit(group)
-        fits = int((full - group.size) // NEW_MACHINE_BYTES) + 1
-        part = left[: min(size - len(group.machines), max(fits, 1))]
-        left = left[len(part) :]
-        for name in part:
-            edit.replace(name, MachineRecord(address=strangers[name].address, spot=strangers[name].spot))
-        room -= group.size + NEW_MACHINE_BYTES * len(part)
+        fits = int((max_bytes - group.size) // NEW_MACHINE_BYTES) + 1
+        batch = remaining[: min(max_machines - len(group.machines), max(fits, 1))]
+        remaining = remaining[len(batch) :]
+        for name in batch:
+            edit.replace(
+                name, MachineRecord(address=unknown_machines[name].address, spot=unknown_machines[name].spot)
+            )
+        bytes_left -= group.size + NEW_MACHINE_BYTES * len(batch)
         if edit.write(txn, limits, cluster_state.is_live):
-            taken += part
-    return txn, taken
+            adopted += batch
+    return txn, adopted
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -43,7 +43,11 @@
 MACHINE_HEALTH = "ashtray/placement/machine_health.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
-    "absence-is-proof": (FOLDING, "sure = evidence.exact and record.token == evidence.token", "sure = True"),
+    "absence-is-proof": (
+        FOLDING,
+        "absence_is_proof = evidence.proves_absence and record.token == evidence.token",
+        "absence_is_proof = True",
+    ),
     "free-before-deletion": (
         DECOMMISSIONING,
         "        if reply.status != 200:\n            return\n        self.inventory.note_deleted(names)",
@@ -52,9 +56,9 @@
     "place-while-deleting": (DECOMMISSIONING, ".machine(name).retiring = True", ".machine(name)"),
     "clear-before-commit": (
         DESK,
-        '                elif over and seen.state == "saving":',
+        '                elif job_is_over and seen.state == "saving":',
         '                elif seen.state == "ended":\n                    kills.append(messages.clear(key))\n'
-        '                elif over and seen.state == "saving":',
+        '                elif job_is_over and seen.state == "saving":',
     ),
     "one-token-for-all": (
         DESK,
@@ -63,11 +67,15 @@
     ),
     "orders-without-record": (
         DESK,
-        "return worker.exact and machine.record.token == worker.token",
-        "return worker.exact",
+        "return worker.token_confirmed and machine.record.token == worker.token",
+        "return worker.token_confirmed",
     ),
     "no-doubt": (DELIVERY, "if not reply.refused and worker.token == token:", "if False:"),
-    "orders-in-flight-ignored": (DESK, "busy = worker.in_flight or worker.answered is not None", "busy = False"),
+    "orders-in-flight-ignored": (
+        DESK,
+        "busy = worker.in_flight or worker.answered_report is not None",
+        "busy = False",
+    ),
     "renew-for-ever": (
         "ashtray/workers/renewal.py",
         "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
@@ -312,7 +320,7 @@
     "moved-machines-count": (GROUP_INDEX, "            if name <= moved_upto:\n", "            if False:\n"),
     "split-not-marked": (
         "ashtray/workers/splitting.py",
-        "txn.guard(lock, cluster_state.version(lock)).put(lock, mark)",
+        "txn.guard(lock, cluster_state.version(lock)).put(lock, progress)",
         "pass",
     ),
     "record-grows-for-ever": (
@@ -328,7 +336,11 @@
         "",
     ),
     "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, cluster_state.version(lock))", "pass"),
-    "notice-taken-for-nothing-new": (DESK, "worker.quiet if report.notice_us is None else None", "worker.quiet"),
+    "notice-taken-for-nothing-new": (
+        DESK,
+        "worker.in_sync_and_folded if report.notice_us is None else None",
+        "worker.in_sync_and_folded",
+    ),
     "alone-keeps-its-workers": (
         "ashtray/peers/presence.py",
         "return next(iter(self.presence.heirs(key, 1)), None)",
@@ -336,29 +348,35 @@
     ),
     "alone-sends-on-for-ever": (
         DESK,
-        "worker.sticks_until_us = now + STICK_US\n            return self.peers",
+        "worker.keep_until_us = now + KEEP_WORKER_US\n            return self.peers",
         "pass\n            return self.peers",
     ),
     "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(UNWELL_US)", ""),
     "copy-is-a-report": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
-    "token-below-the-record": (DESK, "signed = machine.record.token if machine is not None else 0", "signed = 0"),
-    "deaf-is-heard": (DESK, "        if met or worker.exact:\n", "        if True:\n"),
+    "token-below-the-record": (
+        DESK,
+        "recorded_token = machine.record.token if machine is not None else 0",
+        "recorded_token = 0",
+    ),
+    "deaf-is-heard": (DESK, "        if newly_claimed or worker.token_confirmed:\n", "        if True:\n"),
     "zone-not-checked": (PLACER, "if spec.same_zone and len(zones) > 1:", "if False:"),
 }
 
 FIRST = {
     "absence-is-proof": [
-        "tests/test_safety.py::test_absence_proves_nothing_once_a_later_owner_has_signed_the_record"
+        "tests/test_safety.py::test_absence_proves_nothing_once_a_later_owner_has_recorded_its_token"
     ],
     "free-before-deletion": ["tests/test_decommissioning.py"],
     "place-while-deleting": ["tests/test_decommissioning.py"],
     "clear-before-commit": [
-        "tests/test_guards.py::test_an_ended_task_is_not_cleared_while_its_hold_is_in_the_record"
+        "tests/test_guards.py::test_an_ended_task_is_not_cleared_while_its_allocation_is_in_the_record"
     ],
     "one-token-for-all": ["tests/test_safety.py::test_no_two_processes_give_out_the_same_token"],
     "orders-without-record": ["tests/test_safety.py::test_orders_are_given_only_once_the_record_carries_the_token"],
     "no-doubt": ["tests/test_safety.py::test_an_order_without_an_answer_voids_the_token"],
-    "orders-in-flight-ignored": ["tests/test_safety.py::test_orders_on_their_way_withhold_the_proof_of_absence"],
+    "orders-in-flight-ignored": [
+        "tests/test_safety.py::test_a_report_proves_no_absence_while_its_owner_has_orders_on_their_way"
+    ],
     "renew-for-ever": ["tests/test_safety.py::test_leases_are_not_renewed_for_ever_without_the_state_service"],
     "job-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
     "groups-not-guarded": ["tests/test_safety.py::test_every_change_of_a_shared_record_is_guarded_by_its_version"],
@@ -436,7 +454,7 @@
     "eras-are-added": ["tests/test_estimates.py"],
     "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_drown_the_others"],
     "adopted-twice": ["tests/test_safety.py::test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group"],
-    "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_pages_of_different_moments"],
+    "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_records_read_at_different_moments"],
     "done-tasks-dropped": [
         "tests/test_placement.py::test_completed_tasks_of_an_array_write_only_their_group_and_are_not_placed_again"
     ],
@@ -474,7 +492,9 @@
         "tests/test_pipelines.py::test_a_whole_chain_counts_as_cancelled_with_its_first_job_before_any_record_is_moved"
     ],
     "needed-not-read": ["tests/test_guards.py::test_final_states_of_needed_jobs_are_read_though_no_user_asks"],
-    "answers-without-needs": ["tests/test_guards.py::test_an_answer_reads_what_it_does_not_know_of_the_jobs_before"],
+    "answers-without-needs": [
+        "tests/test_guards.py::test_an_answer_reads_the_unknown_final_states_of_needed_jobs_first"
+    ],
     "never-accepted-not-looked-up": [
         "tests/test_pipelines.py::test_a_dependency_on_the_job_itself_or_on_a_job_not_accepted_yet_is_refused"
     ],
@@ -516,7 +536,7 @@
         "tests/test_addition.py::test_a_machine_that_reports_without_the_token_it_was_given_does_not_count_as_heard"
     ],
     "zone-not-checked": [
-        "tests/test_guards.py::test_a_job_of_one_zone_is_not_placed_in_another_by_a_picture_that_has_changed"
+        "tests/test_guards.py::test_a_job_of_one_zone_is_not_placed_in_another_by_a_plan_that_is_out_of_date"
     ],
 }
 """What states most directly what a mutant breaks."""
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -167,13 +167,13 @@
     model.roaming_until = 0
     model.run(3 * REPORT_S)
     # At least its owner has heard a report with a token that it issued itself.
-    assert any(host.core.desk.workers[name].exact for host in model.hosts)
+    assert any(host.core.desk.workers[name].token_confirmed for host in model.hosts)
     for host in model.hosts:
         known = host.core.desk.workers[name]
         assert known.newest > sent
-        before = known.report, known.heard_us, known.token, dict(known.began), known.newest
+        before = known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest
         model.copy_arrives(name, host.number, copy)
-        assert (known.report, known.heard_us, known.token, dict(known.began), known.newest) == before
+        assert (known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest) == before
     # A machine that was deleted since is not adopted again, either.
     model.cloud.end(model.now, name, "deleted")
     model.run(60)
