--- a/ashtray/base.py
+++ b/ashtray/base.py
@@ -1,4 +1,7 @@
-"""What every slice of a controller stands on.  It knows nothing of them: `controller.py` puts them together."""
+"""The objects that every component of a controller shares.
+
+This module imports none of the components; `controller.py` creates and connects them.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,10 @@
 
 @dataclass(frozen=True)
 class Base:
-    """Settings, time, and the way to the state service with the late cluster state of what is in it."""
+    """The settings, the kernel, the client of the state service, and the cluster state.
+
+    The cluster state is this controller's slightly late copy of the records in the state service.
+    """
 
     settings: Settings
     knobs: OperatorSettings
--- a/ashtray/client.py
+++ b/ashtray/client.py
@@ -1,4 +1,4 @@
-"""A user's side of the protocol, for the command line."""
+"""The HTTP client of the command line."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Unreachable(Exception):
-    """No answer that counts came in time."""
+    """No final answer came within the timeout; the message names the last failure."""
 
 
 class Client:
-    """Sends requests to one controller, or to a load balancer before several."""
+    """Sends requests to one controller, or to a load balancer in front of several."""
 
     def __init__(self, server: str, timeout_s: float) -> None:
         host, colon, port = server.rpartition(":")
@@ -24,7 +24,11 @@
         self.timeout_s = timeout_s
 
     def ask(self, method: str, path: str, body: Any = None, token: str | None = None) -> tuple[int, Any]:
-        """One request, repeated as the protocol asks while the service cannot take it."""
+        """Send a request and return the status and the decoded body of the answer.
+
+        Retries after connection errors and after statuses 429, 503 and 504, as the protocol asks; raises
+        `Unreachable` once the next attempt would begin after the timeout.
+        """
         until = time.monotonic() + self.timeout_s
         data = None if body is None else msgspec.msgpack.encode(body)
         headers = {"Content-Type": "application/msgpack"}
@@ -39,7 +43,7 @@
                 raw = response.read()
                 if response.status not in (429, 503, 504):
                     return response.status, msgspec.msgpack.decode(raw) if raw else None
-                reason = f"{self.host}:{self.port} answers {response.status}"
+                reason = f"{self.host}:{self.port} answered with status {response.status}"
                 after = response.getheader("Retry-After", "1")
                 pause = min(float(after), 30.0) if after.isdigit() else 1.0
             except (OSError, http.client.HTTPException, msgspec.DecodeError) as error:
--- a/ashtray/kernel.py
+++ b/ashtray/kernel.py
@@ -1,8 +1,8 @@
-"""The frame in which the slices run: fibers, calls and time, with no I/O and no clock of its own.
+"""The scheduler of a controller's coroutines.  It performs no I/O and reads no clock.
 
-A fiber is a generator.  It yields what it waits for (a `Call`, a `Sleep` or a `Signal`) and is resumed
-with the outcome.  The kernel turns inputs (a request, a reply, the passing of time) into outputs (`Send`,
-`Answer`, `Log`), which the daemon, or a test, carries out.
+A coroutine (`Fiber`) is a generator.  It yields what it waits for (a `Call`, a `Sleep`, a `Signal` or a `Wait`) and
+is resumed with the result.  The kernel turns inputs (a request, a reply, the current time) into outputs (`Send`,
+`Answer`, `Log`), which the daemon or a test carries out.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 
 T = TypeVar("T")
 Fiber = Generator[Any, Any, T]
-"""A fiber that ends with a value of type T."""
+"""A coroutine that returns a value of type T."""
 
 SECOND_US = 1_000_000
-HALT_US = 2 * SECOND_US
-"""A timer that fires so much later than it was asked for shows that the process stood still."""
+STALL_US = 2 * SECOND_US
+"""If a timer fires more than this after it was due, the process counts as having been stalled."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """The answer to a `Call`; `status` 0 means that none came, so its effect is unknown.
+    """The reply to a `Call`.
 
-    `refused` says that no connection was made: the request surely had no effect.
+    `status` is the HTTP status; 0 means that no reply came, so the effect of the request is unknown.  If `refused` is
+    set, no connection was made, so the request certainly had no effect.
     """
 
     status: int
@@ -49,24 +50,24 @@
 
 @dataclass(slots=True)
 class Sleep:
-    """Wait for so many microseconds."""
+    """Asks the kernel to resume the coroutine after `us` microseconds."""
 
     us: int
 
 
 class Signal:
-    """What fibers wait for until somebody fires it.  Each waiter is resumed once, with the fired value."""
+    """An event that coroutines wait for.  `Kernel.fire` resumes each waiter once, with the fired value."""
 
     __slots__ = ("waiters",)
 
     def __init__(self) -> None:
         self.waiters: dict[int, int] = {}
-        """For each fiber the number of its wait: one that has given up by now is left alone."""
+        """Maps a coroutine's id to the number of its wait.  A coroutine whose wait has timed out is not resumed."""
 
 
 @dataclass(slots=True)
 class Wait:
-    """Wait for a signal, for `us` at most; resumed with None when the time ran out."""
+    """Waits for a signal for at most `us` microseconds; on timeout the coroutine is resumed with None."""
 
     signal: Signal
     us: int
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Output: carry out a call and report its reply under `call_id`."""
+    """An output: send a request and pass its reply to `Kernel.reply` with `call_id`."""
 
     call_id: int
     call: Call
@@ -82,7 +83,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Output: answer a request that came in."""
+    """An output: the response to a received request."""
 
     request_id: int
     status: int
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """Output: one readable line."""
+    """An output: one log line."""
 
     level: str
     line: str
@@ -103,18 +104,22 @@
 
 @dataclass(slots=True)
 class Kernel:
-    """Time, randomness and running fibers.  `wall_us` is the time of day, good to the platform's bound."""
+    """Holds the time, the random generator and the running coroutines.
+
+    `now_us` is the monotonic time.  `wall_us` is the time of day, as accurate as the platform guarantees.
+    """
 
     rng: random.Random
     verbose: bool = False
     strict: bool = False
-    """Let faults of this program end it, as tests want."""
+    """Raise unexpected exceptions instead of logging them.  Tests set this."""
     now_us: int = 0
     wall_us: int = 0
     awake_us: int = 0
-    """Since when this process has run without standing still: what it did not hear before proves nothing."""
+    """The monotonic time since which this process has not been stalled.  A message that did not arrive before this
+    time proves nothing about its sender."""
     behind_us: int = 0
-    """For how long inputs wait before they are taken: what can wait comes that much seldomer."""
+    """How long inputs wait before they are processed.  Work that is not urgent is done less often by as much."""
     out: list[Output] = field(default_factory=list)
     _ids: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
     _fibers: dict[int, Fiber[Any]] = field(default_factory=dict)
@@ -124,20 +129,21 @@
     _ready: list[tuple[int, Any]] = field(default_factory=list)
 
     def spawn(self, fiber: Fiber[Any]) -> None:
-        """Start a fiber; it runs when the current one next waits."""
-        fid = next(self._ids)
-        self._fibers[fid] = fiber
-        self._ready.append((fid, None))
+        """Start a coroutine; it first runs when the current one next waits."""
+        fiber_id = next(self._ids)
+        self._fibers[fiber_id] = fiber
+        self._ready.append((fiber_id, None))
 
-    def forever(self, make: Callable[[], Fiber[Any]], every_us: int) -> None:
-        """Run a fiber again and again with a pause between."""
+    def forever(self, create: Callable[[], Fiber[Any]], every_us: int) -> None:
+        """Start a coroutine that runs `create()` repeatedly, with a pause of `every_us` after each run."""
 
         def loop() -> Fiber[None]:
             while True:
                 try:
-                    yield from make()
+                    yield from create()
                 except Exception:
-                    # A slice that stumbles over something unforeseen must not stop the others, or itself for good.
+                    # An unexpected exception in one component must not stop the other components, and must not stop
+                    # this component permanently.
                     self.unforeseen()
                     yield Sleep(SECOND_US)
                 yield Sleep(every_us)
@@ -145,93 +151,93 @@
         self.spawn(loop())
 
     def fire(self, signal: Signal, value: Any = True) -> None:
-        """Resume all fibers that wait for a signal, each with `value`, when the current one next waits."""
+        """Resume all coroutines that wait for a signal, each with `value`, when the current one next waits."""
         waiters, signal.waiters = signal.waiters, {}
-        for fid, wait in waiters.items():
-            if self._waits.get(fid) == wait:
-                del self._waits[fid]
-                self._ready.append((fid, value))
+        for fiber_id, wait in waiters.items():
+            if self._waits.get(fiber_id) == wait:
+                del self._waits[fiber_id]
+                self._ready.append((fiber_id, value))
 
     def log(self, level: str, line: str) -> None:
-        """Put out a log line of level error, info or debug; the last only if the kernel is verbose."""
+        """Emit a log line of level error, info or debug.  Debug lines are dropped unless the kernel is verbose."""
         if level != "debug" or self.verbose:
             self.out.append(Log(level, line))
 
     def unforeseen(self) -> None:
-        """Report the exception being handled, which is a fault in this program."""
+        """Log the exception being handled, which is a fault in this program; raise it again if `strict` is set."""
         if self.strict:
             raise  # noqa: PLE0704
         self.log("error", "unforeseen: " + traceback.format_exc().strip().replace("\n", " | "))
 
     def answer(self, request_id: int, status: int, body: Any = None, retry_after_s: int | None = None) -> None:
-        """Put out the answer to a request; `retry_after_s` asks its sender to try again."""
+        """Emit the response to a request; `retry_after_s` asks the sender to retry after so many seconds."""
         self.out.append(Answer(request_id, status, body, retry_after_s))
 
     def reply(self, call_id: int, reply: Reply) -> None:
-        """Resume the fiber that waits for the reply to a call."""
-        fid = self._calls.pop(call_id, None)
-        if fid is not None:
-            self._ready.append((fid, reply))
+        """Resume the coroutine that waits for the reply to a call, if there is one."""
+        fiber_id = self._calls.pop(call_id, None)
+        if fiber_id is not None:
+            self._ready.append((fiber_id, reply))
 
     def advance(self, now_us: int, wall_us: int) -> None:
-        """Move time on, and make ready what was waiting for it."""
+        """Set the current times and make the coroutines ready whose timers are due."""
         due_us = self.next_wake_us()
         self.now_us = max(self.now_us, now_us)
-        if due_us is None or self.now_us - due_us > HALT_US:
+        if due_us is None or self.now_us - due_us > STALL_US:
             if due_us is not None:
                 self.log("info", f"stood still for {(self.now_us - due_us) / SECOND_US:.1f} s")
             self.awake_us = self.now_us
         self.wall_us = wall_us
         while self._timers and self._timers[0][0] <= self.now_us:
-            _, tid, fid = heapq.heappop(self._timers)
-            if self._waits.get(fid) == tid:
-                del self._waits[fid]
-                self._ready.append((fid, None))
+            _, timer_id, fiber_id = heapq.heappop(self._timers)
+            if self._waits.get(fiber_id) == timer_id:
+                del self._waits[fiber_id]
+                self._ready.append((fiber_id, None))
 
     def next_wake_us(self) -> int | None:
-        """When the next timer is due, by the monotonic time; None if there is none."""
+        """Return the monotonic time at which the next timer is due; None if no timer is set."""
         while self._timers and self._waits.get(self._timers[0][2]) != self._timers[0][1]:
             heapq.heappop(self._timers)
         return self._timers[0][0] if self._timers else None
 
     def run(self) -> list[Output]:
-        """Run all that is ready and hand over the outputs."""
+        """Run all ready coroutines until each waits again, and return the outputs."""
         while self._ready:
             batch, self._ready = self._ready, []
-            for fid, value in batch:
-                self._resume(fid, value)
+            for fiber_id, value in batch:
+                self._resume(fiber_id, value)
         out, self.out = self.out, []
         return out
 
-    def _resume(self, fid: int, value: Any) -> None:
-        fiber = self._fibers.get(fid)
+    def _resume(self, fiber_id: int, value: Any) -> None:
+        fiber = self._fibers.get(fiber_id)
         if fiber is None:
             return
         try:
-            wish = fiber.send(value)
+            awaited = fiber.send(value)
         except StopIteration:
-            del self._fibers[fid]
+            del self._fibers[fiber_id]
             return
         except Exception:
-            del self._fibers[fid]
+            del self._fibers[fiber_id]
             self.unforeseen()
             return
-        if isinstance(wish, Call):
+        if isinstance(awaited, Call):
             call_id = next(self._ids)
-            self._calls[call_id] = fid
-            self.out.append(Send(call_id, wish))
-        elif isinstance(wish, Sleep):
-            self._timer(fid, wish.us)
-        elif isinstance(wish, Wait):
-            self._timer(fid, wish.us)
-            wish.signal.waiters[fid] = self._waits[fid]
-        elif isinstance(wish, Signal):
-            self._waits[fid] = next(self._ids)
-            wish.waiters[fid] = self._waits[fid]
+            self._calls[call_id] = fiber_id
+            self.out.append(Send(call_id, awaited))
+        elif isinstance(awaited, Sleep):
+            self._start_timer(fiber_id, awaited.us)
+        elif isinstance(awaited, Wait):
+            self._start_timer(fiber_id, awaited.us)
+            awaited.signal.waiters[fiber_id] = self._waits[fiber_id]
+        elif isinstance(awaited, Signal):
+            self._waits[fiber_id] = next(self._ids)
+            awaited.waiters[fiber_id] = self._waits[fiber_id]
         else:
-            raise TypeError(f"a fiber waits for {wish!r}")
+            raise TypeError(f"a coroutine yielded {awaited!r}, which cannot be waited for")
 
-    def _timer(self, fid: int, us: int) -> None:
-        tid = next(self._ids)
-        self._waits[fid] = tid
-        heapq.heappush(self._timers, (self.now_us + max(us, 0), tid, fid))
+    def _start_timer(self, fiber_id: int, us: int) -> None:
+        timer_id = next(self._ids)
+        self._waits[fiber_id] = timer_id
+        heapq.heappush(self._timers, (self.now_us + max(us, 0), timer_id, fiber_id))
--- a/ashtray/runs.py
+++ b/ashtray/runs.py
@@ -1,4 +1,4 @@
-"""Sets of task numbers written as runs, such as ``0-17,19``."""
+"""Sets of task numbers as text: ranges of consecutive numbers (runs), such as ``0-17,19``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def encode_runs(numbers: Iterable[int]) -> str:
-    """Write a set of numbers as sorted runs."""
+    """Encode a set of numbers as sorted, comma-separated runs."""
     parts: list[str] = []
     first = last = -2
     for n in [*sorted(numbers), -1]:
@@ -20,7 +20,7 @@
 
 
 def decode_runs(text: str) -> set[int]:
-    """Read what `encode_runs` wrote."""
+    """Decode the text that `encode_runs` returned."""
     numbers: set[int] = set()
     for part in text.split(",") if text else ():
         first, _, last = part.partition("-")
@@ -28,8 +28,8 @@
     return numbers
 
 
-def longest_runs(text: str, room: int) -> str:
-    """The longest of some runs, as many as fit into so many characters."""
+def longest_runs(text: str, max_length: int) -> str:
+    """Return the longest of the given runs, in their order, that together fit into `max_length` characters."""
     parts = text.split(",")
     sizes = {}
     for part in parts:
@@ -37,8 +37,8 @@
         sizes[part] = int(last or first) - int(first) + 1
     kept: set[str] = set()
     for part in sorted(parts, key=lambda part: -sizes[part]):
-        room -= len(part) + 1
-        if room < 0:
+        max_length -= len(part) + 1
+        if max_length < 0:
             break
         kept.add(part)
     return ",".join(part for part in parts if part in kept)
--- a/tests/test_inbox.py
+++ b/tests/test_inbox.py
@@ -10,7 +10,7 @@
 
 from ashtray.daemon import server
 from ashtray.daemon.server import TELL_US, TURN_S, Daemon, Lateness
-from ashtray.inbox import FOR_EVER_US, MOST_WAITING, USERS_TURN, Inbox, Rank, rank_of
+from ashtray.inbox import FOR_EVER_US, MAX_WAITING_USERS, USERS_EVERY, Inbox, Rank, rank_of
 from ashtray.kernel import Answer, Output
 from tests.model import Model, submission
 
@@ -21,8 +21,8 @@
     return [Answer(number, status)]
 
 
-def put(inbox: Inbox, now_us: int, number: int, rank: Rank, patience_us: int = FOR_EVER_US) -> list[Output]:
-    return inbox.put(now_us, rank, lambda: told(number, 200), lambda: told(number, 503), patience_us)
+def put(inbox: Inbox, now_us: int, number: int, rank: Rank, timeout_us: int = FOR_EVER_US) -> list[Output]:
+    return inbox.put(now_us, rank, lambda: told(number, 200), lambda: told(number, 503), timeout_us)
 
 
 INPUT = st.tuples(st.sampled_from(list(Rank)), st.integers(0, 3 * SECOND), st.integers(0, 5 * SECOND), st.booleans())
@@ -32,15 +32,17 @@
 def test_each_input_is_answered_once_reports_first_and_in_turn(inputs, step_us):
     inbox, now_us, seen = Inbox(), 0, []
     came = {}
-    for number, (rank, pause_us, patience_us, takes) in enumerate(inputs):
+    for number, (rank, pause_us, timeout_us, takes) in enumerate(inputs):
         now_us += pause_us
-        came[number] = (rank, now_us + patience_us)
-        seen += [(answer, now_us) for answer in put(inbox, now_us, number, rank, patience_us)]
+        came[number] = (rank, now_us + timeout_us)
+        seen += [(answer, now_us) for answer in put(inbox, now_us, number, rank, timeout_us)]
         if takes:
             seen += [(answer, now_us) for answer in inbox.take(now_us)]
     while inbox:
         now_us += step_us
-        waits = {rank for rank, queue in inbox._waiting.items() if any(entry.until_us >= now_us for entry in queue)}
+        waits = {
+            rank for rank, queue in inbox._waiting.items() if any(entry.deadline_us >= now_us for entry in queue)
+        }
         answers = inbox.take(now_us)
         seen += [(answer, now_us) for answer in answers]
         good = [came[answer.request_id][0] for answer in answers if answer.status == 200]
@@ -58,13 +60,13 @@
 
 def test_users_get_a_turn_and_no_more_wait_than_can_be_served():
     inbox = Inbox()
-    for number in range(MOST_WAITING):
+    for number in range(MAX_WAITING_USERS):
         assert not put(inbox, 0, number, Rank.USERS)
-    assert put(inbox, 0, MOST_WAITING, Rank.USERS)[0].status == 503
+    assert put(inbox, 0, MAX_WAITING_USERS, Rank.USERS)[0].status == 503
     for number in range(1000, 1040):
         put(inbox, 0, number, Rank.DUTIES)
     taken = [inbox.take(0)[0].request_id for _ in range(40)]
-    assert sum(number < MOST_WAITING for number in taken) == 40 // USERS_TURN
+    assert sum(number < MAX_WAITING_USERS for number in taken) == 40 // USERS_EVERY
     # What is never given up is taken however late it is.
     inbox.put(0, Rank.DUTIES, lambda: told(5000, 200))
     while inbox:
