--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -1,4 +1,4 @@
-"""The controller's core: the slices put together.  Inputs go in; what to send and answer comes out."""
+"""The core of a controller: creates and connects its components, turns inputs into outputs, and routes requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Settings
 from ashtray.estimates.estimate_store import EstimateStore
-from ashtray.estimates.operators import operate
+from ashtray.estimates.operators import answer_operator
 from ashtray.fleet.runner import FleetRunner
 from ashtray.jobs.model import JOB_ID, NOW, ROOT
 from ashtray.jobs.pace import Pace
@@ -36,15 +36,17 @@
 from ashtray.workers.renewal import RenewalGuard
 from ashtray.workers.splitting import Splitter
 
-UNWELL_US = 5 * SECOND_US
-COUNT_US = 10 * SECOND_US
+CUT_OFF_US = 5 * SECOND_US
+"""A controller that has not read the state service for longer than this counts as cut off from it."""
+COUNTERS_INTERVAL_US = 10 * SECOND_US
+"""How often the counters are logged."""
 
 
 class Controller:
     """The deterministic core of one controller.
 
-    Each method that takes an input is given the monotonic time and the time of day in microseconds, and returns what
-    is to be sent, answered and logged.
+    Each method that takes an input is given the monotonic time and the time of day in microseconds, and returns the
+    outputs: requests to send, responses and log lines.
     """
 
     def __init__(
@@ -60,9 +62,9 @@
         )
         hosts = [peer.host_name for peer in settings.others]
         self.grants = Grants(settings.host_name, hosts, settings.cluster.teams, self.cluster_state)
-        self._seen = -1
+        self._seen_changes = -1
         self.ended = False
-        """Told to end, it has handed its duties over."""
+        """Whether this controller was told to end and has handed its duties over."""
         self.store = StoreClient(
             self.kernel, settings.services.state, settings.cluster.state, nodes=max(settings.cluster.nodes, 1)
         )
@@ -90,8 +92,8 @@
             base,
             self.presence,
             lambda: self.desk.heard_us(),
-            lambda: self._duties_moved(),
-            self._peer_stated,
+            lambda: self._on_duties_changed(),
+            self._on_peer_cancellations,
             lambda cancelled: self.desk.delivery.settle(cancelled),
             lambda job_id, settled: self.desk.delivery.void_elsewhere(job_id, settled),
         )
@@ -102,19 +104,22 @@
         self.splitter = Splitter(base, self.presence)
         self.estimate_store = EstimateStore(base, self.presence, pace.estimates)
 
-    def _duties_moved(self) -> None:
-        """Somebody is suspected, or is no longer: what it did is this controller's now, or was."""
+    def _on_duties_changed(self) -> None:
+        """React to a peer that is newly suspected, or no longer suspected.
+
+        This controller takes over some of the peer's duties, or returns them.
+        """
         self.kernel.fire(self.placer.kick)
         self.kernel.fire(self.runner.kick)
 
-    def _cancelled_elsewhere(self, job_ids: list[str]) -> None:
-        """A peer knows of cancellations that this controller may not have read: end the jobs' tasks."""
+    def _note_cancelled_elsewhere(self, job_ids: list[str]) -> None:
+        """Record cancellations that a peer knows and this controller may not have read, and end the jobs' tasks."""
         if self.cluster_state.note_cancelled_elsewhere(job_ids):
             self.desk.tend_all(self.cluster_state.take_touched())
 
-    def _peer_stated(self, host: str, asked_us: int, cancelled: list[str]) -> None:
-        """A peer has stated all cancellations that it knows and this controller had not read."""
-        self._cancelled_elsewhere(cancelled)
+    def _on_peer_cancellations(self, host: str, asked_us: int, cancelled: list[str]) -> None:
+        """Handle a peer's statement of all cancellations that it knows and this controller had not read."""
+        self._note_cancelled_elsewhere(cancelled)
         self.renewal.stated(host, asked_us)
 
     def _on_cancellation_notice(self, request_id: int, body: Any) -> None:
@@ -124,38 +129,38 @@
             self.kernel.answer(request_id, 400, {"error": str(error)[:200]})
             return
         if self.follower.loaded:
-            # What is not read yet is read later than this cancellation.
-            self._cancelled_elsewhere(notice.cancelled)
+            # Before the first full read this is not needed: that read happens later than the cancellation.
+            self._note_cancelled_elsewhere(notice.cancelled)
         self.kernel.spawn(self._answer_when_settled(request_id, notice.cancelled))
 
     def _answer_when_settled(self, request_id: int, cancelled: list[str]) -> Fiber[None]:
-        """Answer a peer's notice once no worker that reports here can start tasks of these jobs, or soon after."""
+        """Answer a peer's notice once no worker that reports here can start tasks of these jobs, or shortly after."""
         settled = yield from self.desk.delivery.settle(cancelled)
         self.kernel.answer(request_id, 200, msgspec.to_builtins(CancellationReceipt(settled)))
 
     def _changed(self) -> None:
         self.limits.refused = self.store.refused
         if not self.limits.alike and (self.presence.upgraded() or self.cluster_state.lean or self.store.refused):
-            self.kernel.log("info", "all controllers are of this version: records are written in lean form")
+            self.kernel.log("info", "all controllers run this version: records are written in lean form from now on")
             self.limits.alike = True
         if self.limits.alike and self.limits.fall:
-            self.kernel.log("info", "the lower limits hold from now on")
+            self.kernel.log("info", "the lower limits apply from now on")
             self.limits.lower()
         self.grants.seen(self.follower.revision)
-        self.estimate_store.changed()
-        if self.cluster_state.changes != self._seen:
-            self._seen = self.cluster_state.changes
+        self.estimate_store.load_changed()
+        if self.cluster_state.changes != self._seen_changes:
+            self._seen_changes = self.cluster_state.changes
             self.placer.changed()
             self.desk.tend_all(self.cluster_state.take_touched())
         if self.cluster_state.unconfirmed():
-            # The next stage of a pipeline may wait for it.
+            # The next stage of a pipeline may wait for these records.
             self.follower.hurry()
 
-    def _count(self) -> Fiber[None]:
-        """Say at debug what the shared budgets and the work went into."""
+    def _log_counters(self) -> Fiber[None]:
+        """Log, at level debug, what the shared request budgets and the working time were spent on."""
         for what, counts in (("state", self.store.counts), ("placer", self.placer.counts)):
             parts = [f"{name} {number}" for name, number in sorted(counts.items())]
-            self.kernel.log("debug", f"counters of {COUNT_US // SECOND_US} s, {what}: {', '.join(parts)}")
+            self.kernel.log("debug", f"counters of {COUNTERS_INTERVAL_US // SECOND_US} s, {what}: {', '.join(parts)}")
             counts.clear()
         cluster_state = self.cluster_state
         waiting = sum(len(tasks) for tasks in cluster_state.waiting().values())
@@ -170,15 +175,17 @@
         self.kernel.log("debug", f"waiting: {', '.join(f'{name} {n}' for name, n in by_class.most_common())}")
         for line in self.grants.lines(cluster_state.waiting()):
             self.kernel.log("debug", line)
-        held: dict[str, list[float]] = {}
+        totals: dict[str, list[float]] = {}
         for machine in cluster_state.machines.values():
-            kind = cluster_state.types.get(machine.type)
-            if kind is not None:
-                sums = held.setdefault(f"{'spot ' if machine.record.spot else ''}{kind.name}", [0.0] * 6)
+            machine_type = cluster_state.types.get(machine.type)
+            if machine_type is not None:
+                sums = totals.setdefault(f"{'spot ' if machine.record.spot else ''}{machine_type.name}", [0.0] * 6)
                 idle = 0.0 if machine.holds else 1.0
-                for n, amount in enumerate((1.0, idle, machine.cpus, kind.cpus, machine.gpus, kind.gpus)):
+                for n, amount in enumerate(
+                    (1.0, idle, machine.cpus, machine_type.cpus, machine.gpus, machine_type.gpus)
+                ):
                     sums[n] += amount
-        for name, (number, idle, cpus, all_cpus, gpus, all_gpus) in sorted(held.items()):
+        for name, (number, idle, cpus, all_cpus, gpus, all_gpus) in sorted(totals.items()):
             self.kernel.log(
                 "debug",
                 f"held: {number:.0f} {name}, {idle:.0f} idle, {cpus:.0f} of {all_cpus:.0f} CPUs, "
@@ -188,7 +195,7 @@
         yield
 
     def start(self, now_us: int, wall_us: int) -> list[Output]:
-        """Begin all fibers; to be called once, before any other input."""
+        """Start all coroutines; must be called once, before any other input."""
         kernel = self.kernel
         kernel.advance(now_us, wall_us)
         for bucket in (self.store.requests.bucket, self.store.changes.bucket, self.runner.cloud.bucket):
@@ -207,17 +214,17 @@
         kernel.forever(self.estimate_store.run, 0)
         kernel.forever(self.jobs.states.resolve, 0)
         kernel.forever(self.jobs.cancelling.bury, 0)
-        kernel.forever(self._count, COUNT_US)
+        kernel.forever(self._log_counters, COUNTERS_INTERVAL_US)
         kernel.forever(self.desk.sweep, 20 * SECOND_US)
         return kernel.run()
 
     def wake(self, now_us: int, wall_us: int) -> list[Output]:
-        """A timer has fired: let pass the time until now."""
+        """Handle a timer that is due: advance the time to now."""
         self.kernel.advance(now_us, wall_us)
         return self.kernel.run()
 
     def stop(self, now_us: int, wall_us: int) -> list[Output]:
-        """The process is to end: hand all duties over.  `ended` says when that is done."""
+        """Begin to hand all duties over, because the process is to end.  `ended` is set when that is done."""
         self.kernel.advance(now_us, wall_us)
         if not self.presence.leaving:
             self.kernel.log("info", "told to end: hands its duties over")
@@ -229,7 +236,7 @@
         self.ended = True
 
     def reply(self, now_us: int, wall_us: int, call_id: int, reply: Reply) -> list[Output]:
-        """The reply to a call that the core has sent."""
+        """Handle the reply to a call that the core has sent."""
         self.kernel.advance(now_us, wall_us)
         self.kernel.reply(call_id, reply)
         return self.kernel.run()
@@ -237,7 +244,7 @@
     def request(
         self, now_us: int, wall_us: int, request_id: int, method: str, path: str, body: Any, readable: bool = True
     ) -> list[Output]:
-        """A request from a user, a worker or a health check; `readable` says that its body is MessagePack."""
+        """Handle a request of a user, a worker or a health check; `readable`: its body is valid MessagePack."""
         self.kernel.advance(now_us, wall_us)
         self._route(request_id, method, path, body, readable)
         return self.kernel.run()
@@ -245,7 +252,7 @@
     def peer_request(
         self, now_us: int, wall_us: int, request_id: int, method: str, path: str, body: Any, readable: bool = True
     ) -> list[Output]:
-        """A request from another controller."""
+        """Handle a request of another controller."""
         self.kernel.advance(now_us, wall_us)
         if path == "/peer/word" and method == "POST":
             self.peers.on_word(request_id, body)
@@ -261,7 +268,7 @@
         """Answer a user's request that a peer has forwarded."""
         if isinstance(body, dict):
             method, path = str(body.get("method")), str(body.get("path"))
-            self._route(request_id, method, path, body.get("body"), True, handed=True)
+            self._route(request_id, method, path, body.get("body"), True, forwarded=True)
         else:
             # The peer would relay 400 or 404 to a user whose job may be known (safety point 6).
             self.kernel.answer(request_id, 503, {"error": "the forwarded request cannot be read"}, 1)
@@ -269,31 +276,31 @@
     def operator_request(
         self, now_us: int, wall_us: int, request_id: int, method: str, path: str, body: Any, readable: bool = True
     ) -> list[Output]:
-        """A request from an operator, whose token has been checked."""
+        """Handle a request of an operator, whose token has been checked already."""
         self.kernel.advance(now_us, wall_us)
-        status, answer = operate(self.estimate_store.estimates, method, path, body if readable else None)
+        status, answer = answer_operator(self.estimate_store.estimates, method, path, body if readable else None)
         self.kernel.answer(request_id, status, answer)
         return self.kernel.run()
 
     def _route(
-        self, request_id: int, method: str, path: str, body: Any, readable: bool, handed: bool = False
+        self, request_id: int, method: str, path: str, body: Any, readable: bool, forwarded: bool = False
     ) -> None:
         kernel = self.kernel
         path = path.partition("?")[0]
         parts = path.strip("/").split("/")
         allowed = "POST"
-        if path == "/hello" and not handed:
+        if path == "/hello" and not forwarded:
             if method == "POST":
                 self.desk.on_report(request_id, body if readable else None)
                 return
-        elif path == "/up" and not handed:
+        elif path == "/up" and not forwarded:
             allowed = "GET"
             if method in ("GET", "HEAD"):
-                self._up(request_id)
+                self._answer_health_check(request_id)
                 return
         elif path == "/submissions":
             if method == "POST":
-                self.jobs.submit(request_id, body if readable else None, handed)
+                self.jobs.submit(request_id, body if readable else None, forwarded)
                 return
         elif parts[0] == "submissions" and (len(parts) == 2 or parts[2:] in (["abort"], ["explain"])):
             allowed = "POST" if parts[2:] == ["abort"] else "GET"
@@ -301,26 +308,31 @@
                 if not JOB_ID.fullmatch(parts[1]):
                     kernel.answer(request_id, 400, {"error": "a job id is job- and digits"})
                 elif parts[2:] == ["abort"]:
-                    self.jobs.abort(request_id, parts[1], handed)
+                    self.jobs.abort(request_id, parts[1], forwarded)
                 elif parts[2:] == ["explain"]:
-                    self.jobs.explain(request_id, parts[1], handed)
+                    self.jobs.explain(request_id, parts[1], forwarded)
                 else:
-                    self.jobs.poll(request_id, parts[1], handed)
+                    self.jobs.poll(request_id, parts[1], forwarded)
                 return
         else:
             kernel.answer(request_id, 404, {"error": "no such path"})
             return
         kernel.answer(request_id, 405, {"error": f"use {allowed}"})
 
-    def _up(self, request_id: int) -> None:
-        """Well, unless it has never read the state, or has lost it for a while and a peer has not."""
+    def _answer_health_check(self, request_id: int) -> None:
+        """Answer 200 if this controller can serve users, and 503 otherwise.
+
+        503 means that it has not read the state service yet, has no session, or is shutting down.  It also means that
+        it has been cut off from the state service for longer than `CUT_OFF_US` while a peer is better connected or no
+        peer can be reached.
+        """
         ready = self.follower.loaded or self.follower.read_us > 0
         cut_us = self.kernel.now_us - self.follower.read_us
         if not ready or not self.presence.incarnation:
             self.kernel.answer(request_id, 503, {"error": "starting"}, 1)
         elif self.presence.leaving:
             self.kernel.answer(request_id, 503, {"error": "ending"}, 1)
-        elif cut_us > UNWELL_US and (self.peers.better_connected() is not None or self.peers.alone(UNWELL_US)):
+        elif cut_us > CUT_OFF_US and (self.peers.better_connected() is not None or self.peers.alone(CUT_OFF_US)):
             self.kernel.answer(request_id, 503, {"error": "cut off from the state service"}, 1)
         else:
             self.kernel.answer(request_id, 200, {"status": "up"})
--- a/ashtray/estimates/__init__.py
+++ b/ashtray/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""How long jobs take, learnt from what ran: a distribution a class, with the owner's estimate as one witness."""
+"""Estimates of run times: a distribution for each job class, learnt from ended tasks and the owners' estimates."""
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -1,10 +1,11 @@
-"""Learnt run times in the state service: a few bounded records, to which each controller adds what it has observed.
-
-Such an addition is called a fold.  A record names the last fold of each controller that is in it, so that one whose
-commit got no answer counts once (safety point 20 of `docs/design.md`): a later version of the record shows whether it
-was applied, and until there is one the same fold is sent again.  All of these guard the same version, so one at most
-is applied.  The records lie under `now/`, so a controller that starts has them with its first cluster state,
-before its first placement.
+"""The learnt run times in the state service: a few records of bounded size, shared by all controllers.
+
+Each controller adds its own observations to the records; one such addition is called a fold.  A record names the last
+fold of each controller that it contains, so that a fold whose transaction got no answer is counted exactly once
+(safety point 20 of `docs/design.md`): a later version of the record shows whether the fold was applied, and until
+there is a later version the same fold is sent again.  All its transactions guard the same version of the record, so
+at most one of them is applied.  The keys of the records begin with `now/`, so a controller that starts has read the
+records with its first cluster state, before its first placement.
 """
 
 from __future__ import annotations
@@ -19,24 +20,30 @@
 
 from ashtray.base import Base
 from ashtray.estimates.learned import Estimates
-from ashtray.estimates.model import BINS, MOMENTS, WIDTH, N, merge
+from ashtray.estimates.model import BINS, MOMENT_COUNT, ROW_LENGTH, WEIGHT, merge
 from ashtray.kernel import SECOND_US, Fiber, Sleep
 from ashtray.peers.presence import Presence
 from ashtray.placement.state_keys import ESTIMATE
 from ashtray.store.client import Txn, Urgency
 
 FORM = 1
-SHARDS = 4
-LOOK_US = SECOND_US
-LEAST_US = 20 * SECOND_US
-CHANGES_SHARE = 0.01
-"""Of the changes that there are, what all controllers together may use for this."""
-_ROW = struct.Struct(f"<{MOMENTS}f{BINS}e")
-MOST_COUNT = 60_000.0
+SHARD_COUNT = 4
+CHECK_INTERVAL_US = SECOND_US
+MIN_FOLD_INTERVAL_US = 20 * SECOND_US
+"""The shortest interval between two folds of a controller."""
+WRITE_SHARE = 0.01
+"""The share of the write budget that the folds of all controllers together may use."""
+_ROW = struct.Struct(f"<{MOMENT_COUNT}f{BINS}e")
+MAX_BIN_COUNT = 60_000.0
+"""Counts of the histogram are limited to this, because a half-precision float holds at most 65,504."""
 
 
 class EstimateRecord(msgspec.Struct):
-    """`rows`: for each level its numbers; `applied`: for each controller its incarnation and its last fold here."""
+    """The value of one record.
+
+    `rows` maps each level to its encoded row; `applied` maps each controller to its incarnation and the number of its
+    last fold in this record.
+    """
 
     form: int
     applied: dict[str, tuple[int, int]]
@@ -44,67 +51,71 @@
 
 
 class UnreadableRecord(Exception):
-    """A record that this version cannot read, or that is damaged."""
+    """A record is damaged or of a later form than this version reads; the message says what is wrong."""
 
 
 @dataclass(frozen=True)
-class Unanswered:
-    """A fold whose transaction got no answer: it may have been applied, or may still be."""
+class UnansweredFold:
+    """A fold whose transaction got no answer; it may have been applied, or may be applied later."""
 
     fold: tuple[int, int]
     rows: dict[str, array[float]]
     version: int
-    """The version of the record that it guards: in a later one it is, or it never will be."""
+    """The version of the record that the transaction guards.  A later version either contains the fold, or the fold
+    can no longer be applied."""
 
 
 def pack(row: array[float]) -> str:
-    """The text of a level's numbers in a record."""
-    counts = [min(count, MOST_COUNT) for count in row[MOMENTS:]]
-    return base64.b64encode(_ROW.pack(*row[:MOMENTS], *counts)).decode("ascii")
+    """Encode a row as text for a record."""
+    counts = [min(count, MAX_BIN_COUNT) for count in row[MOMENT_COUNT:]]
+    return base64.b64encode(_ROW.pack(*row[:MOMENT_COUNT], *counts)).decode("ascii")
 
 
 def unpack(text: str) -> array[float]:
-    """The numbers of a level; raises `UnreadableRecord` where the text is damaged."""
+    """Decode a row; raises `UnreadableRecord` if the text is damaged."""
     try:
         numbers = _ROW.unpack(base64.b64decode(text, validate=True))
     except (ValueError, struct.error) as error:
-        raise UnreadableRecord(f"a row cannot be read: {error}") from None
-    if len(numbers) != WIDTH or any(number != number or abs(number) > 1e9 for number in numbers):
-        raise UnreadableRecord("a row holds what is no number")
+        raise UnreadableRecord(f"a row cannot be decoded: {error}") from None
+    if len(numbers) != ROW_LENGTH or any(number != number or abs(number) > 1e9 for number in numbers):
+        raise UnreadableRecord("a row contains an invalid number")
     return array("f", numbers)
 
 
-def read(value: Any) -> EstimateRecord:
-    """A record from its value; raises `UnreadableRecord` for one that is damaged or of a later form."""
+def parse_record(value: Any) -> EstimateRecord:
+    """Convert the value of a key to a record; raises `UnreadableRecord` if it is damaged or of a later form."""
     try:
         record = msgspec.convert(value, EstimateRecord)
     except msgspec.ValidationError as error:
         raise UnreadableRecord(str(error)) from None
     if record.form > FORM:
-        raise UnreadableRecord(f"it is of form {record.form}, and this version reads up to {FORM}")
+        raise UnreadableRecord(f"its form is {record.form}, and this version reads forms up to {FORM}")
     return record
 
 
 def shard_of(key: str) -> int:
-    """Levels of one class lie together."""
+    """Return the shard of a level.  All levels of a job class are in one shard."""
     total = 0
     for byte in key.partition("/")[0].encode():
         total = (total * 31 + byte) % 65_521
-    return total % SHARDS
+    return total % SHARD_COUNT
 
 
 def folded(
-    record: EstimateRecord | None, host: str, fold: tuple[int, int], rows: dict[str, array[float]], most_bytes: int
+    record: EstimateRecord | None, host: str, fold: tuple[int, int], rows: dict[str, array[float]], max_bytes: int
 ) -> EstimateRecord:
-    """A record with one controller's fold added; of too many levels those with the least data give way."""
+    """Return a record with one controller's fold added.
+
+    Where it would exceed `max_bytes`, the levels with the least data are left out; the widest one always stays.
+    """
     old = record or EstimateRecord(FORM, {}, {})
     found = {key: unpack(text) for key, text in old.rows.items()}
     for key, row in rows.items():
         found[key] = merge(found[key], row) if key in found else row
     new = EstimateRecord(FORM, {**old.applied, host: fold}, {key: pack(row) for key, row in found.items()})
     size = len(msgspec.json.encode(new))
-    for key, _ in sorted(found.items(), key=lambda entry: (entry[0] != "", entry[1][N])):
-        if size <= most_bytes:
+    for key, _ in sorted(found.items(), key=lambda entry: (entry[0] != "", entry[1][WEIGHT])):
+        if size <= max_bytes:
             break
         if key:
             size -= len(msgspec.json.encode(key)) + len(new.rows.pop(key)) + 4
@@ -112,62 +123,69 @@
 
 
 class EstimateStore:
-    """Reads the records into what this controller knows, and folds into them what it has seen."""
+    """Loads the records into this controller's estimates, and folds its own observations into the records."""
 
     def __init__(self, base: Base, presence: Presence, estimates: Estimates) -> None:
         self.base = base
         self.presence = presence
         self.estimates = estimates
-        self._read: dict[str, int] = {}
-        """The versions of the records that are in the estimates."""
-        self._broken: set[str] = set()
-        self._number = 0
-        self._unanswered: dict[int, Unanswered] = {}
-        """By shard."""
+        self._loaded_versions: dict[str, int] = {}
+        """Maps a record's key to the version that was loaded last."""
+        self._unreadable: set[str] = set()
+        self._fold_number = 0
+        self._unanswered: dict[int, UnansweredFold] = {}
+        """Maps a shard to its unanswered fold."""
         self._folded_us = 0
 
     def key(self, shard: int) -> str:
-        """The key of a shard's record."""
+        """Return the key of a shard's record."""
         return f"{ESTIMATE}{shard}"
 
-    def changed(self) -> None:
-        """Take in records that have changed."""
+    def load_changed(self) -> None:
+        """Load the records that have changed in the cluster state; one that cannot be read is logged and skipped."""
         cluster_state = self.base.cluster_state
         for key, value in cluster_state.estimates.items():
             version = cluster_state.version(key)
-            if self._read.get(key) == version:
+            if self._loaded_versions.get(key) == version:
                 continue
-            self._read[key] = version
+            self._loaded_versions[key] = version
             try:
-                record = read(value)
+                record = parse_record(value)
                 rows = {name: unpack(text) for name, text in record.rows.items()}
             except UnreadableRecord as error:
-                if key not in self._broken:
-                    self._broken.add(key)
-                    self.base.kernel.log("error", f"{key} is left alone: {error}")
+                if key not in self._unreadable:
+                    self._unreadable.add(key)
+                    self.base.kernel.log("error", f"the record {key} cannot be read and is not changed: {error}")
                 continue
-            self._broken.discard(key)
-            self._settle(int(key.removeprefix(ESTIMATE)), record)
-            self.estimates.know(rows)
+            self._unreadable.discard(key)
+            self._resolve_unanswered(int(key.removeprefix(ESTIMATE)), record)
+            self.estimates.load(rows)
 
-    def _settle(self, shard: int, record: EstimateRecord) -> None:
-        """See in a record whether it holds the fold without an answer; no later version can, if this one does not."""
+    def _resolve_unanswered(self, shard: int, record: EstimateRecord) -> None:
+        """Find out from a record whether the unanswered fold of its shard was applied.
+
+        If a version after the guarded one does not contain the fold, no later version can, and the observations are
+        returned to the estimates.
+        """
         sent = self._unanswered.get(shard)
         if sent is None or self.base.cluster_state.version(self.key(shard)) <= sent.version:
             return
         del self._unanswered[shard]
         if record.applied.get(self.base.settings.host_name) != sent.fold:
-            self.estimates.unfold(sent.rows)
+            self.estimates.restore(sent.rows)
 
     def run(self) -> Fiber[None]:
-        """Add what was observed to the record of one shard, if it is time for that and changes are not scarce."""
+        """Wait for the check interval, then fold new observations into the record of one shard.
+
+        Nothing is folded before the next fold is due, or while the write budget is scarce.
+        """
         base = self.base
-        yield Sleep(LOOK_US)
+        yield Sleep(CHECK_INTERVAL_US)
         if not base.knobs.keep_estimates:
             return
         live = max(len(self.presence.live()), 1) if base.follower.loaded else 1
-        rate = CHANGES_SHARE * base.settings.cluster.state.write_rps
-        pause_us = max(LEAST_US, int(live / rate * SECOND_US))
+        rate = WRITE_SHARE * base.settings.cluster.state.write_rps
+        pause_us = max(MIN_FOLD_INTERVAL_US, int(live / rate * SECOND_US))
         if not base.follower.loaded or not self.presence.incarnation or base.store.changes.scarce():
             return
         if base.kernel.now_us - self._folded_us < pause_us:
@@ -175,54 +193,54 @@
         shards: dict[int, list[str]] = {}
         for key in self.estimates.fresh:
             shards.setdefault(shard_of(key), []).append(key)
-        open_shards = [shard for shard in shards if self.key(shard) not in self._broken]
+        open_shards = [shard for shard in shards if self.key(shard) not in self._unreadable]
         if open_shards:
             self._folded_us = base.kernel.now_us
             yield from self._fold(max(open_shards, key=lambda shard: (len(shards[shard]), shard)))
 
     def _fold(self, shard: int) -> Fiber[None]:
-        """Fold what is new of one shard into its record, or send the fold again that got no answer."""
+        """Fold the new observations of one shard into its record, or send its unanswered fold again."""
         base = self.base
         if shard in self._unanswered and not (yield from base.follower.barrier()):
             return
-        again = self._unanswered.get(shard)
-        self._number += 1
-        fold = (self.presence.incarnation, self._number) if again is None else again.fold
-        taken: dict[str, array[float]] = {} if again is None else dict(again.rows)
+        repeated = self._unanswered.get(shard)
+        self._fold_number += 1
+        fold = (self.presence.incarnation, self._fold_number) if repeated is None else repeated.fold
+        taken: dict[str, array[float]] = {} if repeated is None else dict(repeated.rows)
 
         def build() -> Txn | None:
-            if again is None:
-                self.estimates.unfold(taken)
+            if repeated is None:
+                self.estimates.restore(taken)
                 taken.clear()
                 taken.update(self.estimates.take(lambda name: shard_of(name) == shard))
             elif shard not in self._unanswered:
-                # A record that was read since has settled it.
+                # A record that was read in the meantime has shown whether the fold was applied.
                 return None
             return self._transaction(shard, fold, taken)
 
         txn, reply = yield from base.store.commit(build, 1, Urgency.BOOKKEEPING, "estimate")
         if txn is not None and reply.status == 200:
             base.cluster_state.put(self.key(shard), txn.puts[self.key(shard)], reply.body["ledger"])
-            self.changed()
-        elif again is not None:
-            # The first one may be applied still.
+            self.load_changed()
+        elif repeated is not None:
+            # An earlier transaction of this fold may still be applied.
             return
         elif txn is not None and txn.doubt:
-            self._unanswered[shard] = Unanswered(fold, dict(taken), txn.guards[self.key(shard)])
+            self._unanswered[shard] = UnansweredFold(fold, dict(taken), txn.guards[self.key(shard)])
             if base.cluster_state.version(self.key(shard)) > self._unanswered[shard].version:
-                # A later record was read before the answer was given up.
-                self._read.pop(self.key(shard), None)
-                self.changed()
+                # A later version of the record was read before the wait for the answer timed out.
+                self._loaded_versions.pop(self.key(shard), None)
+                self.load_changed()
         else:
-            self.estimates.unfold(taken)
+            self.estimates.restore(taken)
 
     def _transaction(self, shard: int, fold: tuple[int, int], rows: dict[str, array[float]]) -> Txn | None:
-        """The change of a shard's record that adds these rows; None where the record cannot be read."""
+        """Build the transaction that folds these rows into a shard's record; None if the record cannot be read."""
         base, key = self.base, self.key(shard)
         try:
-            record = read(base.cluster_state.estimates[key]) if key in base.cluster_state.estimates else None
-            most = int(base.limits.least_value_bytes * 0.9)
-            new = folded(record, base.settings.host_name, fold, rows, most)
+            record = parse_record(base.cluster_state.estimates[key]) if key in base.cluster_state.estimates else None
+            max_bytes = int(base.limits.least_value_bytes * 0.9)
+            new = folded(record, base.settings.host_name, fold, rows, max_bytes)
         except UnreadableRecord:
             return None
         return Txn().guard(key, base.cluster_state.version(key)).put(key, msgspec.to_builtins(new))
--- a/ashtray/estimates/learned.py
+++ b/ashtray/estimates/learned.py
@@ -1,4 +1,8 @@
-"""What all classes, and all machines, have taught so far."""
+"""The run times learnt so far for all levels, and how much slower than its peers each machine is.
+
+A level is all jobs, a job class, or a narrower part of a class; `levels` returns the keys.  Each level has a row of
+numbers (`ashtray.estimates.model`).
+"""
 
 from __future__ import annotations
 
@@ -9,16 +13,16 @@
 from functools import lru_cache
 
 from ashtray.estimates.model import (
+    CUSUM_UP,
     ERA,
-    LIMIT,
-    MOMENTS,
-    STANDARD,
-    UP,
-    Belief,
-    Curve,
-    N,
-    believe,
+    MAX_LOG,
+    MOMENT_COUNT,
+    STANDARD_NORMAL,
+    WEIGHT,
+    Regression,
+    ResidualDistribution,
     bin_of,
+    fit,
     merge,
     new_row,
     observe,
@@ -26,242 +30,271 @@
 from ashtray.jobs.model import Job, JobSpec
 from ashtray.kernel import SECOND_US
 
-UNKNOWN_S = 30.0
-"""A run time where nobody has estimated one and nothing is known."""
-MOST_CLASSES = 10_000
-MOST_MEDIANS = 20_000
-CROWD = 3.0
-"""So many tasks of one job count nearly in full; after that ever less, and all together twice as many at the most."""
-MOST_JOBS = 2_000
-MOST_MACHINES = 5_000
-NAME_BYTES = 64
-"""Longer names are cut in keys, their rest told apart by a hash."""
-FRESH, NEARLY = 64, 0.06
-"""What was worked out is worked out anew after so many observations, or once a class has so much more of them."""
-SLOW, SURE = math.log(1.1), 1.8
-"""A machine is slow when it is so much slower than its peers, and by so many standard errors more."""
-FEWEST = 8.0
-MACHINE_PRIOR, MACHINE_MOST = 8.0, 40.0
+DEFAULT_RUN_S = 30.0
+"""The assumed estimate, in seconds, of a job whose owner states none."""
+MAX_LEVELS = 10_000
+"""The limit of the number of levels, and of cached distributions."""
+MAX_MEDIANS = 20_000
+"""The limit of the number of jobs whose median is cached."""
+JOB_WEIGHT_SCALE = 3.0
+"""About this many tasks of one job count nearly in full; further ones count less and less, and all tasks of a job
+together count as at most about twice this many."""
+MAX_JOBS = 2_000
+"""The limit of the number of jobs whose observations are counted."""
+MAX_MACHINES = 5_000
+MAX_NAME_LENGTH = 64
+"""In characters.  In keys, the rest of a longer name is replaced by a hash of it."""
+CACHE_OBSERVATIONS, CACHE_WEIGHT_CHANGE = 64, 0.06
+"""Cached distributions are computed anew after this many observations, or once the weight of their narrowest level
+has changed by this share."""
+SLOW_LOG_FACTOR, SLOW_STANDARD_ERRORS = math.log(1.1), 1.8
+"""A machine counts as slow if its logarithmic factor exceeds the first number by the second number of standard
+errors."""
+MIN_MACHINE_WEIGHT = 8.0
+"""The number of observations below which no machine counts as slow."""
+MACHINE_PRIOR_WEIGHT, MAX_MACHINE_WEIGHT = 8.0, 40.0
+"""In observations: the weight of the assumption that a machine is like the average, and the limit of its own
+weight."""
 AVERAGE_WEIGHT = 0.05
+"""The share of one observation in the moving average of the machines' factors."""
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """How long a task of a job runs, in whole microseconds, and from how much that is known."""
+    """The estimated quantiles of the run time of a job's tasks, in whole microseconds."""
 
     median_us: int
     p10_us: int
     p90_us: int
     p95_us: int
     weight: float
-    """So many observations, as far as they have not faded; of the narrowest level that has any."""
+    """The number of observations, less what has faded, of the narrowest level that has any."""
+
 
+class MachineFactors:
+    """How much slower than the average machine each machine is.
 
-class Machines:
-    """How much slower than its peers each machine is, in logarithms, beside what its tasks are expected to take."""
+    The factors are logarithms, learnt from the residuals of the run times of the machines' tasks.
+    """
 
     def __init__(self) -> None:
         self._seen: dict[str, tuple[float, float]] = {}
-        """For each machine the weight of what ran there and the mean of the residuals."""
+        """Maps a machine to the weight of its observations and the mean of their residuals."""
         self._average = 0.0
-        """Of the factors, by what ran: what all machines share belongs to the classes."""
+        """The moving average of the machines' factors over the observations.  It is subtracted from each factor,
+        because what all machines have in common is part of the levels' own rows."""
 
     def factor(self, name: str) -> float:
-        """By how much (as a logarithm) tasks run longer on a machine than on the average one."""
+        """Return, as a logarithm, by which factor tasks run longer on a machine than on the average one."""
         return self._own(name) - self._average
 
     def _own(self, name: str) -> float:
         weight, mean = self._seen.get(name, (0.0, 0.0))
-        return mean * weight / (weight + MACHINE_PRIOR)
+        return mean * weight / (weight + MACHINE_PRIOR_WEIGHT)
 
     def observe(self, name: str, residual: float, sigma: float) -> None:
-        """Take in how far a run time on a machine was from what was expected (as a logarithm)."""
+        """Add the residual of a run time on a machine (as a logarithm); it is limited to two `sigma`."""
         weight, mean = self._seen.pop(name, (0.0, 0.0))
-        weight = min(weight + 1.0, MACHINE_MOST)
+        weight = min(weight + 1.0, MAX_MACHINE_WEIGHT)
         step = min(max(residual, -2 * sigma), 2 * sigma)
         self._seen[name] = (weight, mean + (step - mean) / weight)
         self._average += AVERAGE_WEIGHT * (self._own(name) - self._average)
-        if len(self._seen) > MOST_MACHINES:
+        if len(self._seen) > MAX_MACHINES:
             del self._seen[next(iter(self._seen))]
 
     def slow(self, name: str, sigma: float) -> bool:
-        """Whether a machine is surely slower than its peers."""
+        """Return whether a machine is slower than its peers beyond statistical doubt."""
         weight, mean = self._seen.get(name, (0.0, 0.0))
-        return weight >= FEWEST and mean - self._average - SURE * sigma / math.sqrt(weight) > SLOW
+        return (
+            weight >= MIN_MACHINE_WEIGHT
+            and mean - self._average - SLOW_STANDARD_ERRORS * sigma / math.sqrt(weight) > SLOW_LOG_FACTOR
+        )
 
 
 def levels(spec: JobSpec) -> tuple[str, str, str, str]:
-    """The keys of the levels that a job's observations count on, the widest first."""
+    """Return the keys of the levels to which a job's observations are added, the widest first."""
     return _levels(spec.job_class, spec.team, spec.image, spec.cpus, spec.gpus)
 
 
 @lru_cache(4096)
 def _levels(job_class: str, team: str, image: str, cpus: float, gpus: float) -> tuple[str, str, str, str]:
-    # Asked for thousands of times in one forecast.
+    # Cached because one forecast calls this thousands of times.
     size = round(math.log2(max(cpus, 0.1))), round(math.log2(gpus)) if gpus else "-"
-    name, owner = _short(job_class), _short(team)
-    return "", name, f"{name}/{owner}", f"{name}/{owner}/{_short(image)}/{size[0]}/{size[1]}"
+    name, owner = _key_part(job_class), _key_part(team)
+    return "", name, f"{name}/{owner}", f"{name}/{owner}/{_key_part(image)}/{size[0]}/{size[1]}"
 
 
-def _short(name: str) -> str:
-    if len(name) <= NAME_BYTES:
+def _key_part(name: str) -> str:
+    if len(name) <= MAX_NAME_LENGTH:
         return name.replace("/", "|")
-    # Not Python's own hash, which differs from process to process.
+    # Python's own hash differs from process to process.
     rest = 0
-    for byte in name[NAME_BYTES:].encode():
+    for byte in name[MAX_NAME_LENGTH:].encode():
         rest = (rest * 131 + byte) % (1 << 32)
-    return f"{name[:NAME_BYTES]}~{rest:x}".replace("/", "|")
+    return f"{name[:MAX_NAME_LENGTH]}~{rest:x}".replace("/", "|")
 
 
 class Estimates:
-    """Learnt run times.  Everything is bounded; what was used least recently gives way."""
+    """The learnt run times.
+
+    The number of levels, jobs and machines is bounded; of each, the entry that was updated least recently is dropped.
+    The caches are bounded, too, and are cleared as a whole.
+    """
 
     def __init__(self) -> None:
         self.rows: dict[str, array[float]] = {}
         self.fresh: dict[str, array[float]] = {}
-        """What this controller has seen and no record holds yet; `rows` has it, too."""
-        self.machines = Machines()
+        """This controller's observations that are in no record of the state service yet; `rows` includes them."""
+        self.machines = MachineFactors()
         self._jobs: dict[str, float] = {}
-        """How much of each job was seen lately."""
-        self._cache: dict[tuple[str, float], tuple[Belief, float, Curve]] = {}
-        self._medians: dict[str, tuple[tuple[str, ...], float, tuple[Belief, float, Curve] | None, int]] = {}
-        """For each job its levels, its owner's word, and the median with what it was worked out from."""
-        self._since = 0
-
-    # Asking
-
-    def _known(self, names: tuple[str, ...], x: float) -> tuple[Belief, float, Curve]:
+        """Maps a job to the number of its observations."""
+        self._cache: dict[tuple[str, float], tuple[Regression, float, ResidualDistribution]] = {}
+        self._medians: dict[
+            str, tuple[tuple[str, ...], float, tuple[Regression, float, ResidualDistribution] | None, int]
+        ] = {}
+        """Maps a job to its levels, the logarithm of its owner's estimate, the distribution from which its median was
+        computed, and the median in microseconds."""
+        self._since_clear = 0
+
+    # Queries
+
+    def _distribution(self, names: tuple[str, ...], x: float) -> tuple[Regression, float, ResidualDistribution]:
         cached = (names[3], x)
         known = self._cache.get(cached)
         row = self.rows.get(names[3])
-        if known is None or (row is not None and abs(row[N] - known[1]) > NEARLY * known[1]):
+        if known is None or (row is not None and abs(row[WEIGHT] - known[1]) > CACHE_WEIGHT_CHANGE * known[1]):
             widest: array[float] | None = None
             weight = 0.0
-            belief = Belief()
+            regression = Regression()
             for name in names:
                 row = self.rows.get(name)
-                if row is not None and row[N] > 0:
-                    belief = believe(row, belief)
-                    # The narrowest level that has seen enough for a shape of its own.
-                    widest = row if widest is None or row[N] >= 8 else widest
-                    weight = row[N]
-            known = self._cache[cached] = belief, weight, Curve(widest, belief.var)
-            if len(self._cache) > MOST_CLASSES:
+                if row is not None and row[WEIGHT] > 0:
+                    regression = fit(row, regression)
+                    # The histogram of the narrowest level with enough observations is used.
+                    widest = row if widest is None or row[WEIGHT] >= 8 else widest
+                    weight = row[WEIGHT]
+            known = self._cache[cached] = regression, weight, ResidualDistribution(widest, regression.var)
+            if len(self._cache) > MAX_LEVELS:
                 self._cache.clear()
         return known
 
     def estimate(self, job: Job) -> Estimate:
-        """The distribution of the run time of a job's tasks."""
-        x = stated(job.spec)
-        belief, weight, curve = self._known(levels(job.spec), x)
-        middle = x + belief.at(x)
-        p10, p50, p90, p95 = (_us(middle + curve.quantile(share)) for share in (0.1, 0.5, 0.9, 0.95))
+        """Return the estimated distribution of the run time of a job's tasks."""
+        x = log_estimate(job.spec)
+        regression, weight, distribution = self._distribution(levels(job.spec), x)
+        expected = x + regression.at(x)
+        p10, p50, p90, p95 = (_exp_us(expected + distribution.quantile(share)) for share in (0.1, 0.5, 0.9, 0.95))
         return Estimate(p50, p10, p90, p95, weight)
 
     def median_us(self, job: Job) -> int:
-        """The median of the run time of a job's tasks, in microseconds."""
-        # Asked for each job that waits in each round of the queue: what a job's description says does not change.
-        names, x, before, median_us = self._medians.get(job.id) or (levels(job.spec), stated(job.spec), None, 0)
-        known = self._known(names, x)
+        """Return the estimated median of the run time of a job's tasks, in microseconds."""
+        # Each scheduling round calls this for each waiting job.  A job's specification does not change, so its levels
+        # and its estimate are cached.
+        names, x, before, median_us = self._medians.get(job.id) or (levels(job.spec), log_estimate(job.spec), None, 0)
+        known = self._distribution(names, x)
         if known is not before:
-            belief, _, curve = known
-            median_us = _us(x + belief.at(x) + curve.quantile(0.5))
-            if len(self._medians) >= MOST_MEDIANS:
+            regression, _, distribution = known
+            median_us = _exp_us(x + regression.at(x) + distribution.quantile(0.5))
+            if len(self._medians) >= MAX_MEDIANS:
                 self._medians.clear()
             self._medians[job.id] = names, x, known, median_us
         return median_us
 
     def chance(self, job: Job, ran_us: int, more_us: int) -> float:
-        """The chance that a task which has run for so long is done within so much more."""
-        x = stated(job.spec)
-        belief, _, curve = self._known(levels(job.spec), x)
-        middle = x + belief.at(x)
-        before = curve.cdf(_ln(ran_us) - middle) if ran_us > 0 else 0.0
-        after = curve.cdf(_ln(ran_us + more_us) - middle)
+        """Return the probability that a task which has run for `ran_us` completes within another `more_us`."""
+        x = log_estimate(job.spec)
+        regression, _, distribution = self._distribution(levels(job.spec), x)
+        expected = x + regression.at(x)
+        before = distribution.cdf(_log_seconds(ran_us) - expected) if ran_us > 0 else 0.0
+        after = distribution.cdf(_log_seconds(ran_us + more_us) - expected)
         return 1.0 if before >= 1.0 else min(max((after - before) / (1.0 - before), 0.0), 1.0)
 
     def slow(self, machine: str) -> bool:
-        """Whether a machine is surely slower than its peers."""
+        """Return whether a machine is slower than its peers beyond statistical doubt."""
         row = self.rows.get("")
-        sigma = math.sqrt(believe(row, Belief()).var) if row is not None else 0.5
+        sigma = math.sqrt(fit(row, Regression()).var) if row is not None else 0.5
         return self.machines.slow(machine, sigma)
 
     # Learning
 
     def ran(self, job: Job, run_us: int, machine: str = "") -> None:
-        """A task has completed after so long: its image, its gang and what it saved before not counted."""
+        """Add the run time of a completed task.
+
+        It does not include the time to fetch the image and to wait for the gang, nor the work that was restored from
+        a checkpoint.
+        """
         if job.spec.kind != "service" and run_us > 0:
-            self._observe(job, _ln(run_us), machine, censored=False)
+            self._observe(job, _log_seconds(run_us), machine, censored=False)
 
     def ran_at_least(self, job: Job, run_us: int) -> None:
-        """A task was ended, or lost, after so long: it would have run for longer."""
+        """Add the run time of a task that was stopped or lost: a lower bound of its full run time."""
         if job.spec.kind != "service" and run_us > 0:
-            self._observe(job, _ln(run_us), "", censored=True)
+            self._observe(job, _log_seconds(run_us), "", censored=True)
 
     def _observe(self, job: Job, y: float, machine: str, censored: bool) -> None:
-        x = stated(job.spec)
+        x = log_estimate(job.spec)
         weight = self._weight(job.id)
         factor = self.machines.factor(machine) if machine else 0.0
-        r = min(max(y - factor - x, -LIMIT), LIMIT)
-        above = Belief()
+        r = min(max(y - factor - x, -MAX_LOG), MAX_LOG)
+        parent = Regression()
         for key in levels(job.spec):
             row = self.rows.pop(key, None)
-            # Those used last stand last.
+            # Move the level to the end, so that the first is the one updated least recently.
             row = self.rows[key] = new_row() if row is None else row
-            belief = believe(row, above)
+            regression = fit(row, parent)
             fresh = self.fresh.get(key)
             if fresh is None:
                 fresh = self.fresh[key] = new_row()
                 fresh[ERA] = row[ERA]
             if not censored:
-                observe(fresh, x, r, weight, belief, counted=False)
-                fresh[MOMENTS + bin_of(r - belief.at(x))] += weight
-                if observe(row, x, r, weight, belief):
-                    # The class has changed: what came since the change is all that there is to tell.
+                observe(fresh, x, r, weight, regression, counted=False)
+                fresh[MOMENT_COUNT + bin_of(r - regression.at(x))] += weight
+                if observe(row, x, r, weight, regression):
+                    # The level has changed: only the observations since the change are to be written.
                     self.fresh[key] = array("f", row)
             else:
-                sigma = math.sqrt(belief.var)
-                bar = min((r - belief.at(x)) / sigma, 4.0)
-                share = STANDARD.cdf(bar)
+                sigma = math.sqrt(regression.var)
+                cutoff = min((r - regression.at(x)) / sigma, 4.0)
+                share = STANDARD_NORMAL.cdf(cutoff)
                 if share > 0.01:
-                    beyond = belief.at(x) + sigma * STANDARD.pdf(bar) / max(1.0 - share, 1e-6)
-                    for each in (row, fresh):
-                        observe(each, x, min(max(beyond, r), LIMIT), weight * share, belief, counted=False)
-            above = belief
+                    imputed = regression.at(x) + sigma * STANDARD_NORMAL.pdf(cutoff) / max(1.0 - share, 1e-6)
+                    for target in (row, fresh):
+                        observe(target, x, min(max(imputed, r), MAX_LOG), weight * share, regression, counted=False)
+            parent = regression
         if machine and not censored:
-            self.machines.observe(machine, y - x - above.at(x), math.sqrt(above.var))
-        self._since += 1
-        if self._since >= FRESH:
-            self._since = 0
+            self.machines.observe(machine, y - x - parent.at(x), math.sqrt(parent.var))
+        self._since_clear += 1
+        if self._since_clear >= CACHE_OBSERVATIONS:
+            self._since_clear = 0
             self._cache.clear()
-        while len(self.rows) > MOST_CLASSES:
+        while len(self.rows) > MAX_LEVELS:
             gone = next(iter(self.rows))
             del self.rows[gone]
             self.fresh.pop(gone, None)
 
-    # Sharing
+    # Exchange with the records in the state service
 
-    def know(self, rows: Mapping[str, array[float]]) -> None:
-        """What the records say, with what this controller has seen besides."""
+    def load(self, rows: Mapping[str, array[float]]) -> None:
+        """Replace the rows by those of the records, merged with this controller's unwritten observations."""
         for key, row in rows.items():
             fresh = self.fresh.get(key)
-            mine = self.rows.pop(key, None)
+            own_row = self.rows.pop(key, None)
             known = row if fresh is None else merge(row, fresh)
-            if mine is not None and mine[ERA] == known[ERA]:
-                # The change detector goes on with what this controller sees itself.
-                known[UP:ERA] = mine[UP:ERA]
+            if own_row is not None and own_row[ERA] == known[ERA]:
+                # The state of the change detector stays that of this controller's own observations.
+                known[CUSUM_UP:ERA] = own_row[CUSUM_UP:ERA]
             self.rows[key] = known
         self._cache.clear()
 
     def take(self, which: Callable[[str], bool]) -> dict[str, array[float]]:
-        """Hand over what is new of some levels, to be written down."""
+        """Remove and return the unwritten observations of the levels that `which` selects."""
         taken = {key: row for key, row in self.fresh.items() if which(key)}
         for key in taken:
             del self.fresh[key]
         return taken
 
-    def unfold(self, rows: Mapping[str, array[float]]) -> None:
-        """Take back what was not written down."""
+    def restore(self, rows: Mapping[str, array[float]]) -> None:
+        """Return observations that `take` removed and that were not written."""
         for key, row in rows.items():
             newer = self.fresh.get(key)
             self.fresh[key] = row if newer is None else merge(row, newer)
@@ -269,16 +302,16 @@
     def _weight(self, job_id: str) -> float:
         seen = self._jobs.pop(job_id, 0.0)
         self._jobs[job_id] = seen + 1.0
-        if len(self._jobs) > MOST_JOBS:
+        if len(self._jobs) > MAX_JOBS:
             del self._jobs[next(iter(self._jobs))]
-        return float((1.0 + seen / CROWD) ** -1.5)
+        return float((1.0 + seen / JOB_WEIGHT_SCALE) ** -1.5)
 
     def forget(self, name: str) -> int:
-        """Forget a class and all below it; returns how many levels that were."""
-        short = _short(name)
+        """Discard a job class with all levels below it; returns the number of levels."""
+        short = _key_part(name)
         gone = [key for key in self.rows if short and (key == short or key.startswith(short + "/"))]
         for key in gone:
-            # An empty row of a later era: with the next fold it takes the place of what the records hold.
+            # The next fold replaces the row in the record by this empty one, because its era is later.
             empty = new_row()
             empty[ERA] = self.rows[key][ERA] + 1
             self.rows[key], self.fresh[key] = empty, array("f", empty)
@@ -286,14 +319,14 @@
         return len(gone)
 
 
-def stated(spec: JobSpec) -> float:
-    """The owner's estimate as a logarithm of seconds."""
-    return math.log((spec.estimate_us or UNKNOWN_S * SECOND_US) / SECOND_US)
+def log_estimate(spec: JobSpec) -> float:
+    """Return the logarithm of the owner's estimate in seconds."""
+    return math.log((spec.estimate_us or DEFAULT_RUN_S * SECOND_US) / SECOND_US)
 
 
-def _ln(us: int) -> float:
+def _log_seconds(us: int) -> float:
     return math.log(max(us, 1) / SECOND_US)
 
 
-def _us(logarithm: float) -> int:
-    return max(int(math.exp(min(max(logarithm, -LIMIT), LIMIT + 8)) * SECOND_US), 1)
+def _exp_us(logarithm: float) -> int:
+    return max(int(math.exp(min(max(logarithm, -MAX_LOG), MAX_LOG + 8)) * SECOND_US), 1)
--- a/ashtray/estimates/model.py
+++ b/ashtray/estimates/model.py
@@ -1,13 +1,15 @@
-"""What is known of one class of jobs: a Bayesian regression of run times on owners' estimates, with a histogram.
-
-Times are kept as natural logarithms of seconds.  With `x` the owner's estimate and `r` the logarithm of run time over
-estimate, a class says ``r = bias + slope * (x - mean of x)``.  A slope of 0 means that estimates are right but for a
-factor; -1 that they say nothing, for the run time is then the same whatever was estimated.  Both shrink towards the
-level above by the usual conjugate rule, as if it had been seen `PRIOR` times, so that little data leans on it.  What
-is left over is log-normal to begin with; a histogram of it takes over as data come, so that skew and two kinds of job
-under one name show in the quantiles.
-
-Moments are centred (Welford; merged by Chan's rule), which keeps single precision good enough.
+"""The statistical model of one level: a Bayesian regression of run times on owners' estimates, with a histogram.
+
+A level is all jobs, a job class, or a part of a class (`learned.levels`); its parent is the next wider level.  Times
+are natural logarithms of seconds.  Let `x` be the owner's estimate and `r` the logarithm of run time over estimate.
+The regression is ``r = bias + slope * (x - mean of x)``.  A slope of 0 means that estimates are right up to a
+constant factor; a slope of -1 means that they carry no information, because the run time is then the same whatever
+was estimated.  Bias and slope shrink towards the parent by the usual conjugate rule, as if the parent counted as
+`PRIOR_WEIGHT` observations, so that a level with little data relies on its parent.  The residuals are taken as
+log-normal at first.  A histogram of them gains weight as observations come in, so that skew, and two kinds of job
+under one name, show in the quantiles.
+
+Moments are centred (updated by Welford's rule, merged by Chan's), so that single precision suffices.
 """
 
 from __future__ import annotations
@@ -20,182 +22,189 @@
 from statistics import NormalDist
 
 BINS = 16
-BIN = 0.25
-"""The width of a bin of the histogram, in logarithms; the outer two are open."""
-ZERO = BINS / 2 + 0.5
-"""Where no residual at all lies: in the middle of a bin, for much of what is learnt lies there."""
-MOMENTS = 11
-WIDTH = MOMENTS + BINS
-N, MX, MR, CXX, CXR, CRR, UP, DOWN, SINCE, SINCE_R, ERA = range(MOMENTS)
-"""Weight, means of x and r, centred moments, the two sums of the change detector with what came since they began to
-rise, and how often the class has been begun anew."""
-
-PRIOR = 4.0
-"""So many observations is the level above worth."""
-SPREAD_X = 0.16
-"""The variance of estimates, in logarithms, that makes the level above's slope worth as much."""
-NORMAL = 12.0
-"""So many observations is the log-normal worth against the histogram."""
-MOST = 120.0
-"""The weight to which older observations fade."""
-FADES = 1.05
-"""So much more than that is let come together before they do."""
-DRIFT, ALARM, CLIP = 0.75, 9.0, 3.5
-"""Page's two-sided cumulative sum of standardised residuals: what is forgiven, too much, and the most one may add."""
-FIRST_VAR = 0.25
-"""The variance of logarithms before anything is known: a factor of 1.65 either way."""
-LEAST_VAR = 0.0025
-LIMIT = 12.0
-"""Logarithms beyond this are cut: a third of a second over 163,000, or the other way round."""
-STANDARD = NormalDist()
+BIN_WIDTH = 0.25
+"""The width of a bin of the histogram, in natural logarithms; the first and the last bin are open."""
+ZERO_OFFSET = BINS / 2 + 0.5
+"""The position of a zero residual, in bins: the middle of a bin, because many residuals are close to zero."""
+MOMENT_COUNT = 11
+ROW_LENGTH = MOMENT_COUNT + BINS
+WEIGHT, MEAN_X, MEAN_R, CXX, CXR, CRR, CUSUM_UP, CUSUM_DOWN, CUSUM_WEIGHT, CUSUM_MEAN_R, ERA = range(MOMENT_COUNT)
+"""The indices of a row (the numbers of one level).  In order: the weight of the observations, the means of x and r,
+the centred second moments, the two sums of the change detector (Page's CUSUM), weight and mean of r since one of
+these sums left 0, and the era: how often the level was restarted.  The bins of the histogram follow."""
+
+PRIOR_WEIGHT = 4.0
+"""The weight of the parent's bias and variance, in observations."""
+PRIOR_VAR_X = 0.16
+"""The variance of x, in squared logarithms, at which the parent's slope counts as `PRIOR_WEIGHT` observations."""
+NORMAL_WEIGHT = 12.0
+"""The weight of the log-normal distribution beside the histogram, in observations."""
+MAX_WEIGHT = 120.0
+"""The weight of a row after fading, in observations."""
+FADE_THRESHOLD = 1.05
+"""A row fades once its weight exceeds `MAX_WEIGHT` by this factor."""
+CUSUM_DRIFT, CUSUM_ALARM, CUSUM_CLIP = 0.75, 9.0, 3.5
+"""Page's two-sided cumulative sum of standardised residuals.  For each observation: the amount subtracted, the sum
+that counts as a change, and the limit of one residual."""
+INITIAL_VAR = 0.25
+"""The variance before anything is known, in squared logarithms: a standard deviation of a factor of 1.65."""
+MIN_VAR = 0.0025
+MAX_LOG = 12.0
+"""Logarithms are limited to this range on both sides of 0; it is a factor of about 163,000."""
+STANDARD_NORMAL = NormalDist()
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
-    """What a level says: r = bias + slope * (x - centre), give or take a variance."""
+class Regression:
+    """The regression line of a level, r = bias + slope * (x - centre), and the variance of the residuals."""
 
     bias: float = 0.0
     slope: float = 0.0
     centre: float = 0.0
-    var: float = FIRST_VAR
+    var: float = INITIAL_VAR
 
     def at(self, x: float) -> float:
-        """The expected logarithm of run time over estimate, for the logarithm of an estimate."""
+        """Return the expected r (logarithm of run time over estimate) for x (logarithm of the estimate)."""
         return self.bias + self.slope * (x - self.centre)
 
 
 def new_row() -> array[float]:
-    """The numbers of a level of which nothing is known."""
-    return array("f", bytes(4 * WIDTH))
+    """Return the row of a level without observations."""
+    return array("f", bytes(4 * ROW_LENGTH))
 
 
-def believe(row: array[float], above: Belief) -> Belief:
-    """A level's own view, drawn towards that of the level above."""
-    n = row[N]
+def fit(row: array[float], parent: Regression) -> Regression:
+    """Return the regression of a level, shrunk towards that of its parent."""
+    n = row[WEIGHT]
     if n <= 0:
-        return above
-    centre = row[MX]
-    bias = (PRIOR * above.at(centre) + n * row[MR]) / (PRIOR + n)
-    stiff = PRIOR * SPREAD_X
-    slope = (stiff * above.slope + row[CXR]) / (stiff + row[CXX])
+        return parent
+    centre = row[MEAN_X]
+    bias = (PRIOR_WEIGHT * parent.at(centre) + n * row[MEAN_R]) / (PRIOR_WEIGHT + n)
+    prior_sum = PRIOR_WEIGHT * PRIOR_VAR_X
+    slope = (prior_sum * parent.slope + row[CXR]) / (prior_sum + row[CXX])
     slope = min(max(slope, -1.5), 0.5)
-    left = row[CRR] - 2 * slope * row[CXR] + slope * slope * row[CXX]
-    off = row[MR] - above.at(centre)
-    spread = max(left, 0.0) + PRIOR * n / (PRIOR + n) * off * off / (PRIOR + n)
-    var = (PRIOR * above.var + spread) / (PRIOR + n)
-    return Belief(bias, slope, centre, max(var, LEAST_VAR))
+    residual_sum = row[CRR] - 2 * slope * row[CXR] + slope * slope * row[CXX]
+    offset = row[MEAN_R] - parent.at(centre)
+    squares = max(residual_sum, 0.0) + PRIOR_WEIGHT * n / (PRIOR_WEIGHT + n) * offset * offset / (PRIOR_WEIGHT + n)
+    var = (PRIOR_WEIGHT * parent.var + squares) / (PRIOR_WEIGHT + n)
+    return Regression(bias, slope, centre, max(var, MIN_VAR))
 
 
-def observe(row: array[float], x: float, r: float, weight: float, belief: Belief, counted: bool = True) -> bool:
-    """Take one observation in; says whether the class was found to have changed and was begun anew.
+def observe(
+    row: array[float], x: float, r: float, weight: float, regression: Regression, counted: bool = True
+) -> bool:
+    """Add one observation to a row; returns whether the level was found to have changed and was restarted.
 
-    `belief` is what was believed before; `counted` is False for what was imputed: it moves the moments only.
+    `regression` is the level's regression without this observation.  If `counted` is False, only the moments are
+    updated, not the change detector and the histogram; imputed observations are added in this way.
     """
-    residual = r - belief.at(x)
+    residual = r - regression.at(x)
     changed = False
     if counted:
-        # One job, however large, is not enough to say that the class has changed.
+        # A single job, however large, must not suffice to report a change of the class.
         part = weight**3
-        step = min(max(residual / math.sqrt(belief.var), -CLIP), CLIP) * part
-        row[UP] = max(row[UP] + step - DRIFT * part, 0.0)
-        row[DOWN] = max(row[DOWN] - step - DRIFT * part, 0.0)
-        if row[UP] == 0.0 and row[DOWN] == 0.0:
-            row[SINCE] = row[SINCE_R] = 0.0
+        step = min(max(residual / math.sqrt(regression.var), -CUSUM_CLIP), CUSUM_CLIP) * part
+        row[CUSUM_UP] = max(row[CUSUM_UP] + step - CUSUM_DRIFT * part, 0.0)
+        row[CUSUM_DOWN] = max(row[CUSUM_DOWN] - step - CUSUM_DRIFT * part, 0.0)
+        if row[CUSUM_UP] == 0.0 and row[CUSUM_DOWN] == 0.0:
+            row[CUSUM_WEIGHT] = row[CUSUM_MEAN_R] = 0.0
         else:
-            row[SINCE] += weight
-            row[SINCE_R] += (r - row[SINCE_R]) * weight / row[SINCE]
-        if max(row[UP], row[DOWN]) > ALARM:
+            row[CUSUM_WEIGHT] += weight
+            row[CUSUM_MEAN_R] += (r - row[CUSUM_MEAN_R]) * weight / row[CUSUM_WEIGHT]
+        if max(row[CUSUM_UP], row[CUSUM_DOWN]) > CUSUM_ALARM:
             changed = True
             restart(row)
-    if row[N] > FADES * MOST:
-        # Not at each one: that was a tenth of a controller's time where much ends.
-        fade(row, MOST / row[N])
-    n = row[N] + weight
-    dx, dr = x - row[MX], r - row[MR]
+    if row[WEIGHT] > FADE_THRESHOLD * MAX_WEIGHT:
+        # Fading at each observation took a tenth of a controller's CPU time when many tasks ended.
+        fade(row, MAX_WEIGHT / row[WEIGHT])
+    n = row[WEIGHT] + weight
+    dx, dr = x - row[MEAN_X], r - row[MEAN_R]
     part = weight / n
-    row[MX] += dx * part
-    row[MR] += dr * part
-    row[CXX] += weight * dx * (x - row[MX])
-    row[CXR] += weight * dx * (r - row[MR])
-    row[CRR] += weight * dr * (r - row[MR])
-    row[N] = n
+    row[MEAN_X] += dx * part
+    row[MEAN_R] += dr * part
+    row[CXX] += weight * dx * (x - row[MEAN_X])
+    row[CXR] += weight * dx * (r - row[MEAN_R])
+    row[CRR] += weight * dr * (r - row[MEAN_R])
+    row[WEIGHT] = n
     if counted and not changed:
-        row[MOMENTS + bin_of(residual)] += weight
+        row[MOMENT_COUNT + bin_of(residual)] += weight
     return changed
 
 
 def bin_of(residual: float) -> int:
-    """The bin of the histogram in which a residual lies."""
-    return min(max(math.floor(residual / BIN + ZERO), 0), BINS - 1)
+    """Return the index of the histogram bin that contains a residual."""
+    return min(max(math.floor(residual / BIN_WIDTH + ZERO_OFFSET), 0), BINS - 1)
 
 
 def restart(row: array[float]) -> None:
-    """Forget what was before a change; what came since it began is kept by its mean."""
-    since, mean, centre, era = row[SINCE], row[SINCE_R], row[MX], row[ERA]
+    """Discard the observations before a change and begin a new era; those since the change began keep their mean."""
+    since, mean, centre, era = row[CUSUM_WEIGHT], row[CUSUM_MEAN_R], row[MEAN_X], row[ERA]
     row[:] = new_row()
-    row[N], row[MX], row[MR], row[ERA] = since, centre, mean, era + 1
-    row[CRR] = since * FIRST_VAR / 2
+    row[WEIGHT], row[MEAN_X], row[MEAN_R], row[ERA] = since, centre, mean, era + 1
+    row[CRR] = since * INITIAL_VAR / 2
 
 
 def fade(row: array[float], keep: float) -> None:
-    """Weigh all that was seen less."""
-    for n in (N, CXX, CXR, CRR, *range(MOMENTS, WIDTH)):
+    """Multiply the weight of all observations by `keep`."""
+    for n in (WEIGHT, CXX, CXR, CRR, *range(MOMENT_COUNT, ROW_LENGTH)):
         row[n] *= keep
 
 
 def merge(row: array[float], other: array[float]) -> array[float]:
-    """Both together; of two eras only the later one counts."""
+    """Return a row with the observations of both; if their eras differ, only those of the later era."""
     if row[ERA] != other[ERA]:
         return array("f", row if row[ERA] > other[ERA] else other)
-    total = row[N] + other[N]
+    total = row[WEIGHT] + other[WEIGHT]
     found = array("f", row)
     if total <= 0:
         return found
-    dx, dr = other[MX] - row[MX], other[MR] - row[MR]
-    both = row[N] * other[N] / total
-    # The same sums whichever comes first: the means weighed, not one moved towards the other.
-    found[N] = total
-    found[MX] = (row[N] * row[MX] + other[N] * other[MX]) / total
-    found[MR] = (row[N] * row[MR] + other[N] * other[MR]) / total
-    found[CXX] = row[CXX] + other[CXX] + both * dx * dx
-    found[CXR] = row[CXR] + other[CXR] + both * dx * dr
-    found[CRR] = row[CRR] + other[CRR] + both * dr * dr
-    for n in range(MOMENTS, WIDTH):
+    dx, dr = other[MEAN_X] - row[MEAN_X], other[MEAN_R] - row[MEAN_R]
+    product = row[WEIGHT] * other[WEIGHT] / total
+    # Weighted means give the same result in either order; moving one mean towards the other would not.
+    found[WEIGHT] = total
+    found[MEAN_X] = (row[WEIGHT] * row[MEAN_X] + other[WEIGHT] * other[MEAN_X]) / total
+    found[MEAN_R] = (row[WEIGHT] * row[MEAN_R] + other[WEIGHT] * other[MEAN_R]) / total
+    found[CXX] = row[CXX] + other[CXX] + product * dx * dx
+    found[CXR] = row[CXR] + other[CXR] + product * dx * dr
+    found[CRR] = row[CRR] + other[CRR] + product * dr * dr
+    for n in range(MOMENT_COUNT, ROW_LENGTH):
         found[n] = row[n] + other[n]
-    found[UP], found[DOWN] = max(row[UP], other[UP]), max(row[DOWN], other[DOWN])
-    found[SINCE], found[SINCE_R] = max((row[SINCE], row[SINCE_R]), (other[SINCE], other[SINCE_R]))
+    found[CUSUM_UP], found[CUSUM_DOWN] = max(row[CUSUM_UP], other[CUSUM_UP]), max(row[CUSUM_DOWN], other[CUSUM_DOWN])
+    found[CUSUM_WEIGHT], found[CUSUM_MEAN_R] = max(
+        (row[CUSUM_WEIGHT], row[CUSUM_MEAN_R]), (other[CUSUM_WEIGHT], other[CUSUM_MEAN_R])
+    )
     return found
 
 
-INNER = [(n - ZERO) * BIN for n in range(BINS + 1)]
-"""The edges of the histogram's bins."""
+BIN_EDGES = [(n - ZERO_OFFSET) * BIN_WIDTH for n in range(BINS + 1)]
+"""The edges of the histogram's bins, as residuals."""
 
 
-class Curve:
-    """The distribution of what is left over, in logarithms: the normal and the histogram together."""
+class ResidualDistribution:
+    """The distribution of a level's residuals, in logarithms: a mixture of a normal distribution and a histogram."""
 
     __slots__ = ("_edges", "_below", "_sigma", "_total")
 
     def __init__(self, row: array[float] | None, var: float) -> None:
         self._sigma = math.sqrt(var)
-        counts = row[MOMENTS:] if row is not None else array("f", bytes(4 * BINS))
-        self._total = NORMAL + sum(counts)
-        # Both parts are summed up at the edges of the bins, and straight lines drawn between.
-        reach = max(ZERO * BIN, 5 * self._sigma)
-        fine = [self._sigma * step / 4 for step in range(-20, 21)]
-        self._edges = sorted({-reach - BIN, *INNER, *fine, reach + BIN})
+        counts = row[MOMENT_COUNT:] if row is not None else array("f", bytes(4 * BINS))
+        self._total = NORMAL_WEIGHT + sum(counts)
+        # The cumulative distribution is computed at these edges and interpolated linearly between them.
+        reach = max(ZERO_OFFSET * BIN_WIDTH, 5 * self._sigma)
+        normal_edges = [self._sigma * step / 4 for step in range(-20, 21)]
+        self._edges = sorted({-reach - BIN_WIDTH, *BIN_EDGES, *normal_edges, reach + BIN_WIDTH})
         below = []
-        # Summed up once: summed up anew at each edge, this was the most of what a curve took.
-        upto = [0.0, *accumulate(counts)]
+        # Summing the counts anew at each edge took most of the time of this constructor.
+        cumulative = [0.0, *accumulate(counts)]
         for edge in self._edges:
-            place = min(max(edge / BIN + ZERO, 0.0), float(BINS))
-            whole = int(place)
-            seen = upto[whole] + (counts[whole] * (place - whole) if whole < BINS else 0.0)
-            below.append((NORMAL * STANDARD.cdf(edge / self._sigma) + seen) / self._total)
+            position = min(max(edge / BIN_WIDTH + ZERO_OFFSET, 0.0), float(BINS))
+            full_bins = int(position)
+            seen = cumulative[full_bins] + (counts[full_bins] * (position - full_bins) if full_bins < BINS else 0.0)
+            below.append((NORMAL_WEIGHT * STANDARD_NORMAL.cdf(edge / self._sigma) + seen) / self._total)
         self._below = below
 
     def cdf(self, residual: float) -> float:
-        """The share of residuals up to this one."""
+        """Return the share of residuals that are at most this one."""
         edges = self._edges
         if residual <= edges[0]:
             return 0.0
@@ -206,7 +215,7 @@
         return self._below[n - 1] + part * (self._below[n] - self._below[n - 1])
 
     def quantile(self, share: float) -> float:
-        """The residual up to which this share of them lies."""
+        """Return the residual that this share of the residuals does not exceed."""
         below = self._below
         n = min(max(bisect_left(below, share), 1), len(below) - 1)
         step = below[n] - below[n - 1]
--- a/ashtray/estimates/operators.py
+++ b/ashtray/estimates/operators.py
@@ -1,4 +1,4 @@
-"""What operators may ask: `GET /operators/estimates[/CLASS]`, and `POST /operators/estimates/forget` with a class."""
+"""The operators' requests: `GET /operators/estimates[/CLASS]` and `POST /operators/estimates/forget` with a class."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from urllib.parse import unquote
 
 from ashtray.estimates.learned import Estimates
-from ashtray.estimates.model import ERA, MX, Belief, Curve, N, believe
+from ashtray.estimates.model import ERA, MEAN_X, WEIGHT, Regression, ResidualDistribution, fit
 
 PATH = "/operators/estimates"
-MOST_ROWS = 200
+MAX_ROWS = 200
 
 
-def operate(estimates: Estimates, method: str, path: str, body: Any) -> tuple[int, Any]:
-    """Answer one request of an operator; 200, 400, 404 or 405."""
+def answer_operator(estimates: Estimates, method: str, path: str, body: Any) -> tuple[int, Any]:
+    """Answer one request of an operator; returns the status (200, 400, 404 or 405) and the body."""
     path = path.partition("?")[0]
     if path == PATH + "/forget":
         if method != "POST":
@@ -29,36 +29,39 @@
     if method != "GET":
         return 405, {"error": "use GET"}
     name = unquote(path[len(PATH) + 1 :])
-    rows = table(estimates, name)
+    rows = list_levels(estimates, name)
     if name and not rows:
         return 404, {"error": f"nothing is known of {name}"}
     return 200, {"estimates": rows}
 
 
-def table(estimates: Estimates, name: str) -> list[dict[str, Any]]:
-    """Each level, those with the most data first: what runs take of their estimates, and how sure that is."""
+def list_levels(estimates: Estimates, name: str) -> list[dict[str, Any]]:
+    """Return the levels of a job class, or of all if `name` is empty, those with the most data first.
+
+    `ratio` is the median of run time over estimate; `low` and `high` are its 10th and 90th percentiles.
+    """
     found: list[dict[str, Any]] = []
     for key, row in estimates.rows.items():
-        if row[N] <= 0 or (name and key != name and not key.startswith(name + "/")):
+        if row[WEIGHT] <= 0 or (name and key != name and not key.startswith(name + "/")):
             continue
-        belief = Belief()
+        regression = Regression()
         parts = key.split("/") if key else []
         for depth in range(len(parts) + 1):
-            above = estimates.rows.get("/".join(parts[:depth]))
-            if above is not None:
-                belief = believe(above, belief)
-        curve = Curve(row if row[N] >= 8 else None, belief.var)
-        middle = belief.at(row[MX])
+            parent_row = estimates.rows.get("/".join(parts[:depth]))
+            if parent_row is not None:
+                regression = fit(parent_row, regression)
+        distribution = ResidualDistribution(row if row[WEIGHT] >= 8 else None, regression.var)
+        expected = regression.at(row[MEAN_X])
         found.append(
             {
                 "level": key,
-                "seen": round(row[N], 1),
-                "ratio": round(math.exp(middle + curve.quantile(0.5)), 3),
-                "low": round(math.exp(middle + curve.quantile(0.1)), 3),
-                "high": round(math.exp(middle + curve.quantile(0.9)), 3),
-                "slope": round(belief.slope, 2),
+                "seen": round(row[WEIGHT], 1),
+                "ratio": round(math.exp(expected + distribution.quantile(0.5)), 3),
+                "low": round(math.exp(expected + distribution.quantile(0.1)), 3),
+                "high": round(math.exp(expected + distribution.quantile(0.9)), 3),
+                "slope": round(regression.slope, 2),
                 "eras": int(row[ERA]),
             }
         )
     found.sort(key=lambda entry: (-entry["seen"], entry["level"]))
-    return found[:MOST_ROWS]
+    return found[:MAX_ROWS]
--- a/ashtray/estimates/watch.py
+++ b/ashtray/estimates/watch.py
@@ -1,4 +1,4 @@
-"""What reports say of run times: when each task was first seen running, and when it was seen to have ended."""
+"""Derives run times from the workers' reports: when each task was first reported running, and when as ended."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 from ashtray.kernel import SECOND_US
 
 Key = tuple[str, int, int]
-"""Job, attempt and task number."""
-BEFORE = ("fetching", "waiting")
-MOST_RESUMED = 20_000
+"""The job, the attempt and the task number."""
+NOT_STARTED = ("fetching", "waiting")
+"""The states of a task before it runs."""
+MAX_RESUMED = 20_000
 LEAD_WEIGHT = 0.05
-MOST_LEAD_US = 300 * SECOND_US
-FIRST_LEAD_US = 5 * SECOND_US
+"""The share of one observation in the moving average of a class's lead time, the time from placement to start."""
+MAX_LEAD_US = 300 * SECOND_US
+INITIAL_LEAD_US = 5 * SECOND_US
 
 
-class Seen(Protocol):
-    """What a report says of one task."""
+class ReportedTask(Protocol):
+    """The state of one task in a report, and why it ended."""
 
     state: str
     cause: str | None
 
 
 class Watch:
-    """Turns reports into observations.
+    """Turns reports into observations of run times.
 
-    A run counts from the first report that shows it, where an earlier one had not: what was running when its worker
-    came over from another controller began at an unknown time and teaches nothing.  A task that failed teaches
-    nothing, for one with a mistake fails at once; one that was stopped or lost ran for at least so long; one that
-    went on from a checkpoint ran for less than a whole run and counts as a lower bound as well.
+    A run is measured from the first report that shows the task running, provided that an earlier report showed it not
+    running.  A task that was running already when its worker came from another controller started at an unknown time
+    and is not observed.  Neither is a failed task, because a faulty program fails at once.  The run time of a task
+    that was stopped or lost is a lower bound, and so is that of a task that resumed from a checkpoint, because it ran
+    for less than a whole run.
     """
 
     def __init__(self, estimates: Estimates, job_of: Callable[[str], Job | None]) -> None:
@@ -39,24 +42,26 @@
         self._job_of = job_of
         self._resumed: dict[tuple[str, int], None] = {}
         self._lead_us: dict[str, int] = {}
-        """For each class, from a task's place to its start: the order, its image, its gang."""
+        """Maps a job class to the mean time from a task's placement to its start, in which the order is delivered,
+        the image is fetched and the gang becomes complete."""
 
     def report(
         self,
         machine: str,
         began: dict[Key, int],
-        old: Mapping[Key, Seen] | None,
-        new: Mapping[Key, Seen],
+        old: Mapping[Key, ReportedTask] | None,
+        new: Mapping[Key, ReportedTask],
         now_us: int,
     ) -> list[Key]:
-        """Compare two reports of one worker; returns what has begun to run.
+        """Compare two successive reports of one worker; returns the tasks that have started to run.
 
-        `began` is what is known of its running tasks, kept by the caller.
+        `began` maps the worker's running tasks to the time at which they were first reported running.  The caller
+        keeps it between calls, and this method updates it.
         """
         started = []
         for key, seen in new.items():
             if seen.state == "running":
-                if key not in began and old is not None and (key not in old or old[key].state in BEFORE):
+                if key not in began and old is not None and (key not in old or old[key].state in NOT_STARTED):
                     began[key] = now_us
                     started.append(key)
             elif seen.state == "ended" and key in began:
@@ -70,22 +75,22 @@
         if job is None or cause == "error":
             return
         task = (key[0], key[2])
-        went_on = task in self._resumed or (job.spec.kind == "gang" and job.record.broken > 0)
-        if cause == "done" and not (went_on and job.spec.checkpoint_us):
+        resumed = task in self._resumed or (job.spec.kind == "gang" and job.record.broken > 0)
+        if cause == "done" and not (resumed and job.spec.checkpoint_us):
             self.estimates.ran(job, run_us, machine)
         else:
             self.estimates.ran_at_least(job, run_us)
         if cause != "done" and job.spec.checkpoint_us:
             self._resumed[task] = None
-            if len(self._resumed) > MOST_RESUMED:
+            if len(self._resumed) > MAX_RESUMED:
                 del self._resumed[next(iter(self._resumed))]
 
     def started(self, job: Job, waited_us: int) -> None:
-        """A task was seen to run so long after it got its place."""
+        """Add the time from a task's placement to the report that showed it running."""
         name = job.spec.job_class
-        old = self._lead_us.get(name, FIRST_LEAD_US)
-        self._lead_us[name] = old + int(LEAD_WEIGHT * (min(max(waited_us, 0), MOST_LEAD_US) - old))
+        old = self._lead_us.get(name, INITIAL_LEAD_US)
+        self._lead_us[name] = old + int(LEAD_WEIGHT * (min(max(waited_us, 0), MAX_LEAD_US) - old))
 
     def lead_us(self, job: Job) -> int:
-        """How long a task of a job may be expected to hold its place before it runs."""
-        return self._lead_us.get(job.spec.job_class, FIRST_LEAD_US)
+        """Return the expected time from placement to start for a task of a job, in microseconds."""
+        return self._lead_us.get(job.spec.job_class, INITIAL_LEAD_US)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 class InvalidList(Exception):
@@ -36,8 +36,8 @@
         if len(fields) != 3 or not all(fields):
             raise InvalidList(f"a line is 'test | cause | issue', not {line!r}")
         found.append(KnownRed(*fields))
-    if len(found) > MOST_LINES:
-        raise InvalidList(f"{len(found)} tests are listed, {MOST_LINES} at most may be")
+    if len(found) > MAX_LINES:
+        raise InvalidList(f"{len(found)} tests are listed, {MAX_LINES} at most may be")
     return found
 
 
--- a/tests/mutants/gap.py
+++ b/tests/mutants/gap.py
@@ -48,7 +48,7 @@
     ),
     "announced-cancellations-are-ignored": (
         "ashtray/controller.py",
-        "self._cancelled_elsewhere(notice.cancelled)",
+        "self._note_cancelled_elsewhere(notice.cancelled)",
         "pass",
     ),
 }
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -222,7 +222,7 @@
     "eras-are-added": ("ashtray/estimates/model.py", "if row[ERA] != other[ERA]:", "if False:"),
     "one-job-drowns-all": (
         "ashtray/estimates/learned.py",
-        "return float((1.0 + seen / CROWD) ** -1.5)",
+        "return float((1.0 + seen / JOB_WEIGHT_SCALE) ** -1.5)",
         "return 1.0",
     ),
     "adopted-twice": (
@@ -331,7 +331,7 @@
         "worker.sticks_until_us = now + STICK_US\n            return self.peers",
         "pass\n            return self.peers",
     ),
-    "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(UNWELL_US)", ""),
+    "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(CUT_OFF_US)", ""),
     "copy-is-a-report": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
     "token-below-the-record": (DESK, "signed = machine.record.token if machine is not None else 0", "signed = 0"),
     "deaf-is-heard": (DESK, "        if met or worker.exact:\n", "        if True:\n"),
--- a/tests/mutants/transactions.py
+++ b/tests/mutants/transactions.py
@@ -30,10 +30,10 @@
     ),
     "unanswered-fold-replaced": (
         ESTIMATE_STORE,
-        "        again = self._unanswered.get(shard)\n",
-        "        again = None\n"
+        "        repeated = self._unanswered.get(shard)\n",
+        "        repeated = None\n"
         "        if shard in self._unanswered:\n"
-        "            self.estimates.unfold(self._unanswered.pop(shard).rows)\n",
+        "            self.estimates.restore(self._unanswered.pop(shard).rows)\n",
     ),
     "fold-read-before-doubt": (
         ESTIMATE_STORE,
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -75,13 +75,13 @@
     if unknown:
         parser.error(f"there is no mutant {', '.join(unknown)}")
     production.load()
-    missed = 0
+    uncaught = 0
     with ThreadPoolExecutor(options.jobs) as pool:
         verdicts = pool.map(lambda name: run_mutant(mutants[name], options.runs), options.names)
         for name, verdict in zip(options.names, verdicts, strict=True):
-            missed += not verdict.startswith("caught")
+            uncaught += not verdict.startswith("caught")
             print(f"{name:34} {verdict}", flush=True)
-    return 1 if missed else 0
+    return 1 if uncaught else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -17,18 +17,18 @@
 from ashtray.config.operators import OperatorSettings, load_token
 from ashtray.config.settings import SettingsError
 from ashtray.estimates.estimate_store import (
-    SHARDS,
+    SHARD_COUNT,
     EstimateRecord,
     UnreadableRecord,
     folded,
     pack,
-    read,
+    parse_record,
     shard_of,
     unpack,
 )
-from ashtray.estimates.learned import MOST_CLASSES, Estimates, levels
-from ashtray.estimates.model import MOST, N, merge, new_row
-from ashtray.estimates.operators import operate
+from ashtray.estimates.learned import MAX_LEVELS, Estimates, levels
+from ashtray.estimates.model import MAX_WEIGHT, WEIGHT, merge, new_row
+from ashtray.estimates.operators import answer_operator
 from ashtray.estimates.watch import Watch
 from ashtray.kernel import SECOND_US
 from ashtray.lab import replay, traces
@@ -78,7 +78,7 @@
         estimates.ran(replay.job_of(run_of(job=f"job-{n}")), 100 * SECOND_US)
     for _ in range(20_000):
         estimates.ran(replay.job_of(run_of(job="job-large", expect_s=100.0)), 20 * SECOND_US)
-    assert estimates.rows[""][N] < 40
+    assert estimates.rows[""][WEIGHT] < 40
     assert estimates.median_us(replay.job_of(run_of())) > 25 * SECOND_US
 
 
@@ -128,16 +128,16 @@
         estimates.ran(replay.job_of(run_of(job_class=name, image=image)), 7 * SECOND_US)
     record = folded(None, "berth-0", (3, 1), estimates.fresh, most)
     assert len(msgspec.json.encode(record)) <= most
-    assert read(msgspec.to_builtins(record)) == record
+    assert parse_record(msgspec.to_builtins(record)) == record
 
 
 def test_classes_are_bounded() -> None:
     estimates = Estimates()
-    for n in range(MOST_CLASSES):
+    for n in range(MAX_LEVELS):
         estimates.ran(replay.job_of(run_of(job=f"job-{n}", job_class=f"class-{n}")), SECOND_US)
-    assert len(estimates.rows) == MOST_CLASSES and len(estimates.fresh) <= MOST_CLASSES
+    assert len(estimates.rows) == MAX_LEVELS and len(estimates.fresh) <= MAX_LEVELS
     # What is used stays.
-    assert "" in estimates.rows and levels(replay.job_of(run_of(job_class=f"class-{MOST_CLASSES - 1}")).spec)[3]
+    assert "" in estimates.rows and levels(replay.job_of(run_of(job_class=f"class-{MAX_LEVELS - 1}")).spec)[3]
 
 
 @pytest.mark.parametrize(
@@ -174,12 +174,12 @@
     assert estimates.median_us(jobs["job-1"]) > 10 * SECOND_US
     told(("waiting", None), ("running", None), ("ended", "done"))
     assert estimates.estimate(jobs["job-1"]).weight > 0.9
-    before = estimates.rows[""][N]
+    before = estimates.rows[""][WEIGHT]
     # Running when its worker came over: since when, nobody here knows.
     began: dict[Any, int] = {}
     watch.report("m", began, None, {("job-1", 1, 0): TaskState("running", None)}, 0)
     watch.report("m", began, {}, {("job-1", 1, 0): TaskState("ended", "done")}, SECOND_US)
-    assert estimates.rows[""][N] == before
+    assert estimates.rows[""][WEIGHT] == before
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -204,10 +204,10 @@
         model.late_share = 0.3 if 8 < n < 20 else 0.0
     model.run(150)
     rows = [value["rows"].get("") for key, (value, _, _) in model.state.keys.items() if key.startswith(ESTIMATE)]
-    kept = sum(unpack(text)[N] for text in rows if text)
-    assert 0 < kept <= sum(seen) + 0.01 < MOST
+    kept = sum(unpack(text)[WEIGHT] for text in rows if text)
+    assert 0 < kept <= sum(seen) + 0.01 < MAX_WEIGHT
     # What was not lost with a process is there by then.
-    waiting = sum(h.core.estimate_store.estimates.fresh.get("", new_row())[N] for h in model.hosts)
+    waiting = sum(h.core.estimate_store.estimates.fresh.get("", new_row())[WEIGHT] for h in model.hosts)
     assert waiting == pytest.approx(0.0, abs=0.01)
 
 
@@ -230,18 +230,18 @@
         assert list(unpack(pack(row))) == pytest.approx(list(row), rel=1e-3, abs=1e-3)
     with pytest.raises(UnreadableRecord):
         unpack("not base 64")
-    assert {shard_of(key) for key in (f"class-{n}" for n in range(99))} == set(range(SHARDS))
-    assert EstimateRecord(1, {}, {}) == read({"form": 1, "applied": {}, "rows": {}, "later": 3})
+    assert {shard_of(key) for key in (f"class-{n}" for n in range(99))} == set(range(SHARD_COUNT))
+    assert EstimateRecord(1, {}, {}) == parse_record({"form": 1, "applied": {}, "rows": {}, "later": 3})
 
 
 def test_what_operators_ask_and_forget() -> None:
     estimates = Estimates()
     for n in range(20):
         estimates.ran(replay.job_of(run_of(job=f"job-{n}", expect_s=50.0)), 100 * SECOND_US)
-    status, body = operate(estimates, "GET", "/operators/estimates/pages", None)
+    status, body = answer_operator(estimates, "GET", "/operators/estimates/pages", None)
     assert status == 200 and all(1.7 < row["ratio"] < 2.1 for row in body["estimates"])
     assert [row["level"] for row in body["estimates"]] == sorted(
-        (key for key in estimates.rows if key), key=lambda key: (-round(estimates.rows[key][N], 1), key)
+        (key for key in estimates.rows if key), key=lambda key: (-round(estimates.rows[key][WEIGHT], 1), key)
     )
     known = {key: array("f", row) for key, row in estimates.rows.items()}
     for method, path, sent, expected in (
@@ -251,11 +251,11 @@
         ("GET", "/operators/else", None, 404),
         ("POST", "/operators/estimates/forget", {"class": "pages"}, 200),
     ):
-        assert operate(estimates, method, path, sent)[0] == expected
+        assert answer_operator(estimates, method, path, sent)[0] == expected
     # What the records still hold does not bring it back; nor does what another controller remembers.
-    estimates.know(known)
-    assert operate(estimates, "GET", "/operators/estimates/pages", None)[0] == 404
-    assert merge(known["pages"], estimates.fresh["pages"])[N] == 0
+    estimates.load(known)
+    assert answer_operator(estimates, "GET", "/operators/estimates/pages", None)[0] == 404
+    assert merge(known["pages"], estimates.fresh["pages"])[WEIGHT] == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from ashtray.estimates.learned import MOST_CLASSES, MOST_JOBS, MOST_MEDIANS
+from ashtray.estimates.learned import MAX_JOBS, MAX_LEVELS, MAX_MEDIANS
 from ashtray.jobs.cancellations import MOST_ENTRIES
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Fiber, Kernel, Reply, Signal, Wait
@@ -174,12 +174,12 @@
 HISTORIES = {
     "ClusterState.over": MAX_OVER,
     "MinimumShare._served": MOST_SERVED,
-    "Estimates._medians": MOST_MEDIANS,
-    "Estimates._jobs": MOST_JOBS,
+    "Estimates._medians": MAX_MEDIANS,
+    "Estimates._jobs": MAX_JOBS,
     "CancellationLog._entries": MOST_ENTRIES,
     # As many entries for each of the cached distributions.
-    "Curve._edges": MOST_CLASSES * 100,
-    "Curve._below": MOST_CLASSES * 100,
+    "ResidualDistribution._edges": MAX_LEVELS * 100,
+    "ResidualDistribution._below": MAX_LEVELS * 100,
 }
 """Tables that keep what is over, and how much of it at the most."""
 SPARE_ENTRIES = 150
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -23,7 +23,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.controller import Controller
 from ashtray.estimates.estimate_store import unpack
-from ashtray.estimates.model import N, new_row
+from ashtray.estimates.model import WEIGHT, new_row
 from ashtray.fleet.messages import parse_types
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Answer, Call, Output, Reply, Send
@@ -359,7 +359,7 @@
     """How many observations of run times the records hold, by the level of the class that all jobs are of."""
     records = [value for key, (value, _, _) in model.state.keys.items() if key.startswith(ESTIMATE)]
     rows = [record["rows"].get("any") for record in records]
-    return float(sum(unpack(row)[N] for row in rows if row))
+    return float(sum(unpack(row)[WEIGHT] for row in rows if row))
 
 
 def check_nothing_is_left(model: Model) -> None:
@@ -482,7 +482,7 @@
 
 def check_observations(model: Model, seen: list[float]) -> None:
     """All that was seen is in the records, once."""
-    waiting = sum(host.core.estimate_store.estimates.fresh.get("any", new_row())[N] for host in model.hosts)
+    waiting = sum(host.core.estimate_store.estimates.fresh.get("any", new_row())[WEIGHT] for host in model.hosts)
     assert waiting == pytest.approx(0.0, abs=0.01)
     assert kept_observations(model) == pytest.approx(sum(seen), rel=0.001)
 
