--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the whole suite: reproducible generated inputs, and the tests that are known to fail."""
+"""Settings of the whole test suite: reproducible generated inputs, and the handling of known failures."""
 
 import pytest
 from hypothesis import settings
@@ -6,13 +6,16 @@
 from tests import known_red
 
 settings.register_profile("steady", derandomize=True, deadline=None, database=None)
-# Other runs than those of the checks: pytest --hypothesis-profile=wide --hypothesis-seed=N
+# For other generated inputs than those of the checks: pytest --hypothesis-profile=wide --hypothesis-seed=N
 settings.register_profile("wide", deadline=None, database=None)
 settings.load_profile("steady")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Let listed tests fail, and only fail; a listed test of a collected file that is not there ends the run."""
+    """Mark the listed tests as expected failures, so that a pass is an error.
+
+    The run ends with an error if a collected file does not contain a test that is listed for it.
+    """
     try:
         listed = known_red.load_list()
     except known_red.InvalidList as error:
@@ -25,10 +28,10 @@
         if item is not None:
             item.add_marker(pytest.mark.xfail(reason=f"{entry.cause} ({entry.issue})", strict=True))
         elif entry.test.partition("::")[0] in files:
-            raise pytest.UsageError(f"KNOWN-RED.txt: there is no test {entry.test}")
+            raise pytest.UsageError(f"KNOWN-RED.txt: test {entry.test} does not exist")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Name the tests that failed as listed."""
+    """Print the listed tests that failed as expected."""
     for report in terminalreporter.getreports("xfailed"):
         terminalreporter.write_line(f"known red: {report.nodeid}: {report.wasxfail}")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail for a real fault: `KNOWN-RED.txt` lists them, and the run prints them.
+"""Reads `KNOWN-RED.txt`, the list of tests that are known to fail because of a real fault.
 
-A line names the test's node id, the cause and the issue, separated by ` | `.  A listed test is run: it may fail,
-and it must not pass.  More than `MOST_LINES` lines, or a line that names no test, end the run.
+A line holds the test's node id, the cause and the issue, separated by ` | `.  Listed tests are run and must fail; the
+test run prints their names.  More than `MAX_LINES` lines, or a line that names no existing test, end the test run.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 class InvalidList(Exception):
-    """The list cannot be used; the message says why."""
+    """The list is invalid; the message says why."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that fails for a fault that has not been mended yet."""
+    """A test that fails because of a fault that is not fixed yet."""
 
     test: str
     cause: str
@@ -27,20 +27,20 @@
 
 
 def parse_list(text: str) -> list[KnownRed]:
-    """Read the list's lines; raises InvalidList for one that is malformed, and for too many."""
+    """Parse the list; raises `InvalidList` for a malformed line and for too many lines."""
     found = []
     for line in text.splitlines():
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split(" | ")]
         if len(fields) != 3 or not all(fields):
-            raise InvalidList(f"a line is 'test | cause | issue', not {line!r}")
+            raise InvalidList(f"expected a line 'test | cause | issue', got {line!r}")
         found.append(KnownRed(*fields))
     if len(found) > MAX_LINES:
-        raise InvalidList(f"{len(found)} tests are listed, {MAX_LINES} at most may be")
+        raise InvalidList(f"{len(found)} tests are listed; the limit is {MAX_LINES}")
     return found
 
 
 def load_list(path: Path = LIST) -> list[KnownRed]:
-    """The listed tests; none where there is no list."""
+    """Return the listed tests; an empty list if the file does not exist."""
     return parse_list(path.read_text()) if path.exists() else []
--- a/tests/mutants/__init__.py
+++ b/tests/mutants/__init__.py
@@ -1,9 +1,9 @@
-"""Mutants: each replaces one guard of the code, and some test must fail with it.
+"""Mutants: each replaces one guard of the code, and at least one test must then fail.
 
-Each module of this package states `MUTANTS`, from a mutant's name to the file, the text that stands there exactly
-once and what replaces it, and `TESTS`, the test files that are run against its mutants. It may state `FIRST`, from a
-mutant's name to the test files, or tests as pytest names them, that are run before the others: a mutant is done with
-once a test has failed.
+Each module of this package defines `MUTANTS`, which maps a mutant's name to a file, a text that occurs in it exactly
+once, and the replacement, and `TESTS`, the test files that are run against its mutants. It may define `FIRST`, which
+maps a mutant's name to test files or pytest node ids that are run before the others: the run of a mutant ends with
+the first failed test.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One guard to be replaced, and the tests that are run against it."""
+    """One guard to replace, and the tests to run."""
 
     name: str
     file: str
     original: str
     replacement: str
     first: tuple[str, ...]
-    """Test files, or tests as pytest names them, that are run before the others."""
+    """Test files or pytest node ids that are run before the others."""
     tests: tuple[str, ...]
 
 
 def load_mutants() -> dict[str, Mutant]:
-    """Collect the mutants of all modules of this package by name; a name that is used twice is a ValueError."""
+    """Return the mutants of all modules of this package by name; raises ValueError if a name is used twice."""
     found: dict[str, Mutant] = {}
     for info in pkgutil.iter_modules(__path__):
         module = importlib.import_module(f"{__name__}.{info.name}")
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -420,9 +420,9 @@
     "one-known-ends-all": [
         "tests/test_recovery.py::test_a_crowd_shares_transactions_and_one_that_is_known_holds_up_nobody"
     ],
-    "failures-teach": ["tests/test_estimates.py::test_only_what_ran_whole_says_how_long_a_task_takes"],
+    "failures-teach": ["tests/test_estimates.py::test_only_complete_runs_count_as_run_times"],
     "eras-are-added": ["tests/test_estimates.py"],
-    "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_drown_the_others"],
+    "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_outweigh_the_others"],
     "adopted-twice": ["tests/test_safety.py::test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group"],
     "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_pages_of_different_moments"],
     "done-tasks-dropped": [
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -1,4 +1,4 @@
-"""Mutation check: replaces one guard after the other in a scratch copy, and runs the tests that must notice it.
+"""Mutation check: replaces one guard at a time in a scratch copy, and runs the tests that must then fail.
 
 python -m tests.mutation [--runs N] [--jobs N] [NAME ...]
 """
@@ -21,22 +21,22 @@
 
 
 def run_mutant(mutant: Mutant, runs: int) -> str:
-    """Run a mutant's tests in a scratch copy; the verdict in words, `caught: ...` if a test failed."""
+    """Run a mutant's tests in a scratch copy; returns the verdict, `caught by TEST: REASON` if a test failed."""
     with tempfile.TemporaryDirectory() as scratch:
         for part in ("ashtray", "tests", "deploy", "pyproject.toml"):
             source = ROOT / part
             copy = shutil.copytree if source.is_dir() else shutil.copy
             copy(source, Path(scratch) / part)
         for before in (ROOT / "target").glob("production-*"):
-            # The scratch copy has no history of its own.
+            # The scratch copy has no git history to take the production version from.
             shutil.copytree(before, Path(scratch) / "target" / before.name)
         mutated = Path(scratch) / mutant.file
         text = mutated.read_text()
         if text.count(mutant.original) != 1:
-            return "the text to replace was not found exactly once"
+            return "the text to replace does not occur exactly once"
         mutated.write_text(text.replace(mutant.original, mutant.replacement))
         environment = {**os.environ, "ASHTRAY_MODEL_RUNS": str(runs), "PYTHONDONTWRITEBYTECODE": "1"}
-        # Two calls, for pytest runs the tests of a file in their order however they are named.
+        # Two runs, because pytest keeps the order of tests within a file, whatever the order of its arguments.
         for tests in filter(None, (mutant.first, mutant.tests)):
             command = [sys.executable, "-m", "pytest", "-q", "-x", *tests]
             done = subprocess.run(command, cwd=scratch, env=environment, capture_output=True, text=True, check=False)
@@ -50,13 +50,13 @@
 
 
 def _failed_test(output: str) -> str:
-    """The test that pytest names as failed in its summary, without the folder."""
+    """Return the first failed test in pytest's summary, without the folder."""
     failed = [line.split()[1] for line in output.splitlines() if line.startswith(("FAILED ", "ERROR "))]
     return failed[0].removeprefix("tests/") if failed else "a test without a name"
 
 
 def _reason(output: str) -> str:
-    """The first error that pytest shows, in at most 150 characters."""
+    """Return the first error that pytest shows, limited to 150 characters."""
     lines = output.splitlines()
     reasons = [line for line in lines if line.startswith("E   ") and "Error" in line]
     reasons = reasons or [line for line in lines if "RuleBroken" in line]
@@ -64,16 +64,16 @@
 
 
 def main() -> int:
-    """Run the chosen mutants, all by default; 1 if one was not caught."""
+    """Run the chosen mutants, by default all; returns 1 if any was not caught."""
     mutants = load_mutants()
-    parser = argparse.ArgumentParser(description="Replace safety guards one by one; see which tests notice.")
+    parser = argparse.ArgumentParser(description="Replace safety guards one at a time and see which tests fail.")
     parser.add_argument("--runs", type=int, default=300, help="generated runs for each mutant")
-    parser.add_argument("--jobs", type=int, default=os.cpu_count(), help="mutants at one time")
+    parser.add_argument("--jobs", type=int, default=os.cpu_count(), help="mutants run in parallel")
     parser.add_argument("names", nargs="*", default=list(mutants))
     options = parser.parse_args()
     unknown = [name for name in options.names if name not in mutants]
     if unknown:
-        parser.error(f"there is no mutant {', '.join(unknown)}")
+        parser.error(f"unknown mutants: {', '.join(unknown)}")
     production.load()
     uncaught = 0
     with ThreadPoolExecutor(options.jobs) as pool:
--- a/tests/production.py
+++ b/tests/production.py
@@ -1,4 +1,4 @@
-"""The version in production, taken from the repository's history, to be run beside the present one."""
+"""Loads the version in production from the repository's history, to run it beside the current version."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def _unpack(source: bytes, folder: Path) -> None:
-    """Unpack the sources under their other name, whole or not at all: test processes side by side do the same."""
+    """Unpack the sources under the package name `NAME`.
+
+    The folder appears complete or not at all, because test processes that run in parallel unpack it, too.
+    """
     folder.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder.parent) as scratch:
         unpacked = Path(scratch) / folder.name
@@ -30,12 +33,12 @@
                     path.parent.mkdir(parents=True, exist_ok=True)
                     path.write_text(file.read().decode().replace("from ashtray", f"from {NAME}"))
         with contextlib.suppress(OSError):
-            # Another process was faster.
+            # Another process has created the folder already.
             unpacked.rename(folder)
 
 
 def load() -> SimpleNamespace | None:
-    """Its controller under a name of its own; None where the history is not there."""
+    """Return the production version's controller and settings classes; None if git cannot provide its sources."""
     commit = tomllib.loads((ROOT / "deploy/service.toml").read_text())["production"]
     folder = ROOT / "target" / f"production-{commit}"
     if not (folder / NAME).is_dir():
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""`docs/architecture.md` against the code: imports, the path of a job, keys and record types."""
+"""Compares `docs/architecture.md` with the code: imports, the path of a job, keys and record types."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
 MAX_LINES = 120
 PREFIXES = {"ashtray", "ashtray/now"}
-"""Beginnings of keys that are no keys themselves."""
+"""Prefixes of keys that are not keys themselves."""
 NOT_LISTED = {"__init__", "__main__"}
-"""Modules that hold no code of their own."""
+"""Modules without code of their own, which the page does not list."""
 
 
 def section(title: str) -> str:
-    """The text of the page under a heading."""
+    """Return the text of the page under a heading."""
     return PAGE.split(f"## {title}\n", 1)[1].split("\n## ", 1)[0]
 
 
 def rows(title: str) -> list[list[str]]:
-    """The cells of the table under a heading, without its head."""
+    """Return the cells of the table under a heading, without its header."""
     lines = [line for line in section(title).splitlines() if line.startswith("|")]
     return [[cell.strip() for cell in line.strip("|").split("|")] for line in lines[2:]]
 
 
 def part_of(path: Path) -> str:
-    """The package of a module, or the module itself where it stands beside the packages."""
+    """Return the package of a module, or the module itself if it is in no subpackage."""
     return path.relative_to(PACKAGE).parts[0].removesuffix(".py")
 
 
 def imported_modules(tree: ast.AST, package: str = "ashtray") -> set[str]:
-    """The modules of the project that a module imports anywhere, as full names."""
+    """Return the full names of the project's modules that a module imports, also within functions."""
     found = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -49,7 +49,7 @@
 
 
 def actual_imports() -> dict[str, set[str]]:
-    """For each package or module beside the packages, which others it imports."""
+    """Map each package, and each module in no subpackage, to the others that it imports."""
     parts = {part_of(path) for path in PACKAGE.rglob("*.py")}
     found: dict[str, set[str]] = defaultdict(set)
     for path in PACKAGE.rglob("*.py"):
@@ -60,7 +60,7 @@
 
 
 def keys_in_code() -> set[str]:
-    """All string constants of the code that are keys in the state service or begin some."""
+    """Return all string constants of the code that are keys, or prefixes of keys, in the state service."""
     constants = (
         node.value
         for path in PACKAGE.rglob("*.py")
@@ -70,11 +70,11 @@
     return {text.rstrip("/") for text in constants if re.fullmatch(r"ashtray/[a-z/]*", text)} - PREFIXES
 
 
-def test_the_page_is_short() -> None:
+def test_the_page_is_within_its_line_limit() -> None:
     assert len(PAGE.splitlines()) <= MAX_LINES
 
 
-def test_imports_are_those_of_the_table() -> None:
+def test_the_table_lists_exactly_the_imports_of_the_code() -> None:
     table = {
         part.strip("`"): {name for name in imports.split(", ") if name}
         for part, _, imports in rows("Packages, and what each may import")
@@ -82,7 +82,7 @@
     assert table == actual_imports()
 
 
-def test_each_package_has_its_duty_in_the_table() -> None:
+def test_the_table_states_the_duty_of_each_package() -> None:
     assert all(duty for _, duty, _ in rows("Packages, and what each may import"))
 
 
@@ -100,7 +100,7 @@
     assert imported_modules(ast.parse(source)) == modules
 
 
-def test_the_path_of_a_job_names_modules_that_exist() -> None:
+def test_the_path_of_a_job_names_existing_modules() -> None:
     path = section("The path of a submitted job")
     steps = [int(number) for number in re.findall(r"^(\d+)\. ", path, re.MULTILINE)]
     modules = re.findall(r"`([a-z_/]+\.py)`", path)
@@ -108,7 +108,7 @@
     assert [module for module in modules if not (PACKAGE / module).is_file()] == []
 
 
-def test_the_keys_are_those_of_the_code() -> None:
+def test_the_table_lists_exactly_the_keys_of_the_code() -> None:
     keys = {
         re.split("[A-Z]", key.strip("`"), maxsplit=1)[0].rstrip("/")
         for key, _, _ in rows("Keys in the state service")
@@ -116,7 +116,7 @@
     assert keys == keys_in_code()
 
 
-def test_the_types_of_records_exist() -> None:
+def test_the_listed_record_types_exist() -> None:
     types = [name for _, record, _ in rows("Keys in the state service") for name in re.findall(r"`([\w.]+)`", record)]
     assert len(types) >= 5
     for name in types:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The checks themselves: the list of known failures, and the mutants' places in the code."""
+"""Tests of the checks themselves: the list of known failures, and the source texts that mutants replace."""
 
 import pytest
 
@@ -18,17 +18,17 @@
     ["tests/test_a.py::test_b", "tests/test_a.py::test_b |  | 43", "a | b | 1\n" * 4],
     ids=["no cause", "an empty cause", "too many"],
 )
-def test_a_list_of_known_failures_that_cannot_be_used_is_refused(text):
+def test_an_invalid_list_of_known_failures_is_refused(text):
     with pytest.raises(InvalidList):
         parse_list(text)
 
 
-def test_each_mutant_replaces_a_text_that_stands_in_the_code_exactly_once():
-    places = {
+def test_each_mutant_replaces_a_text_that_occurs_in_the_code_exactly_once():
+    counts = {
         name: (ROOT / mutant.file).read_text().count(mutant.original) for name, mutant in load_mutants().items()
     }
-    assert len(places) > 80
-    assert [name for name, count in places.items() if count != 1] == []
+    assert len(counts) > 80
+    assert [name for name, count in counts.items() if count != 1] == []
 
 
 def test_each_mutant_changes_its_text_and_names_tests_that_exist():
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Learnt run times: what they say, how they are merged, and that nothing is counted twice."""
+"""Tests of the run-time estimates: their accuracy, merging, the records, and that nothing is counted twice."""
 
 from __future__ import annotations
 
@@ -66,13 +66,13 @@
     assert owners > 1.0
 
 
-def test_a_slow_machine_is_told_from_its_peers() -> None:
+def test_a_slow_machine_is_distinguished_from_its_peers() -> None:
     found = replay.accused(seeds=12, tasks=20)
     assert found["slow found"] > 0.8
     assert found["healthy accused"] < 0.01
 
 
-def test_one_large_job_does_not_drown_the_others() -> None:
+def test_one_large_job_does_not_outweigh_the_others() -> None:
     estimates = Estimates()
     for n in range(10):
         estimates.ran(replay.job_of(run_of(job=f"job-{n}")), 100 * SECOND_US)
@@ -86,7 +86,9 @@
     st.lists(st.tuples(st.floats(1e-6, 1e9), st.floats(0, 1e9), st.booleans(), st.sampled_from("abc")), max_size=60),
     st.floats(0, 1e6),
 )
-def test_no_observations_make_nonsense(seen: list[tuple[float, float, bool, str]], ran_s: float) -> None:
+def test_any_observations_give_finite_ordered_estimates(
+    seen: list[tuple[float, float, bool, str]], ran_s: float
+) -> None:
     estimates = Estimates()
     for run_s, expect_s, ended, name in seen:
         job = replay.job_of(run_of(job_class=name, expect_s=expect_s))
@@ -122,7 +124,7 @@
 
 
 @given(st.lists(st.tuples(st.text(max_size=1200), st.text(max_size=40)), max_size=60), st.integers(1500, 8000))
-def test_records_stay_within_their_bytes_for_any_names(names: list[tuple[str, str]], most: int) -> None:
+def test_records_stay_within_their_size_limit_for_any_names(names: list[tuple[str, str]], most: int) -> None:
     estimates = Estimates()
     for name, image in names:
         estimates.ran(replay.job_of(run_of(job_class=name, image=image)), 7 * SECOND_US)
@@ -131,12 +133,12 @@
     assert parse_record(msgspec.to_builtins(record)) == record
 
 
-def test_classes_are_bounded() -> None:
+def test_the_number_of_levels_is_bounded() -> None:
     estimates = Estimates()
     for n in range(MAX_LEVELS):
         estimates.ran(replay.job_of(run_of(job=f"job-{n}", job_class=f"class-{n}")), SECOND_US)
     assert len(estimates.rows) == MAX_LEVELS and len(estimates.fresh) <= MAX_LEVELS
-    # What is used stays.
+    # Levels in use are kept.
     assert "" in estimates.rows and levels(replay.job_of(run_of(job_class=f"class-{MAX_LEVELS - 1}")).spec)[3]
 
 
@@ -144,7 +146,7 @@
     "value",
     [None, {"form": 1}, {"form": 9, "applied": {}, "rows": {}}, {"form": 1, "applied": {}, "rows": {"": "AAAA"}}],
 )
-def test_a_record_that_cannot_be_read_is_left_alone(value: Any) -> None:
+def test_an_unreadable_record_is_not_overwritten(value: Any) -> None:
     model = Model(1)
     key = f"{ESTIMATE}0"
     model.state.revision += 1
@@ -155,12 +157,12 @@
     assert model.state.keys[key][0] == value
 
 
-def test_only_what_ran_whole_says_how_long_a_task_takes() -> None:
+def test_only_complete_runs_count_as_run_times() -> None:
     jobs = {"job-1": replay.job_of(run_of(expect_s=10.0))}
     estimates = Estimates()
     watch = Watch(estimates, jobs.get)
 
-    def told(*states: tuple[str, str | None]) -> None:
+    def compare_reports(*states: tuple[str, str | None]) -> None:
         began: dict[Any, int] = {}
         old: dict[Any, TaskState] = {}
         for n, (state, cause) in enumerate(states):
@@ -168,14 +170,14 @@
             watch.report("m", began, old, new, n * 50 * SECOND_US)
             old = new
 
-    told(("fetching", None), ("running", None), ("ended", "error"))
+    compare_reports(("fetching", None), ("running", None), ("ended", "error"))
     assert not estimates.rows
-    told(("running", None), ("ended", "stopped"))
+    compare_reports(("running", None), ("ended", "stopped"))
     assert estimates.median_us(jobs["job-1"]) > 10 * SECOND_US
-    told(("waiting", None), ("running", None), ("ended", "done"))
+    compare_reports(("waiting", None), ("running", None), ("ended", "done"))
     assert estimates.estimate(jobs["job-1"]).weight > 0.9
     before = estimates.rows[""][WEIGHT]
-    # Running when its worker came over: since when, nobody here knows.
+    # The task was running when its worker came from another controller, so its start time is unknown.
     began: dict[Any, int] = {}
     watch.report("m", began, None, {("job-1", 1, 0): TaskState("running", None)}, 0)
     watch.report("m", began, {}, {("job-1", 1, 0): TaskState("ended", "done")}, SECOND_US)
@@ -186,16 +188,16 @@
 def test_nothing_is_counted_twice_through_crashes_and_lost_answers(seed: int) -> None:
     rng = random.Random(seed)
     model = Model(seed)
-    seen: list[float] = []
+    weights: list[float] = []
     for host in model.hosts:
-        _count(host.core, seen)
-    start = model.start_host
+        _record_weights(host.core, weights)
+    start_unrecorded = model.start_host
 
-    def start_counted(host: Any) -> None:
-        start(host)
-        _count(host.core, seen)
+    def start_recorded(host: Any) -> None:
+        start_unrecorded(host)
+        _record_weights(host.core, weights)
 
-    model.start_host = start_counted  # type: ignore[method-assign]
+    model.start_host = start_recorded  # type: ignore[method-assign]
     for n in range(30):
         model.submit(submission(f"job-{n}", crew="free", pieces=2))
         model.run(2)
@@ -204,25 +206,26 @@
         model.late_share = 0.3 if 8 < n < 20 else 0.0
     model.run(150)
     rows = [value["rows"].get("") for key, (value, _, _) in model.state.keys.items() if key.startswith(ESTIMATE)]
-    kept = sum(unpack(text)[WEIGHT] for text in rows if text)
-    assert 0 < kept <= sum(seen) + 0.01 < MAX_WEIGHT
-    # What was not lost with a process is there by then.
-    waiting = sum(h.core.estimate_store.estimates.fresh.get("", new_row())[WEIGHT] for h in model.hosts)
-    assert waiting == pytest.approx(0.0, abs=0.01)
+    recorded_weight = sum(unpack(text)[WEIGHT] for text in rows if text)
+    assert 0 < recorded_weight <= sum(weights) + 0.01 < MAX_WEIGHT
+    # By now every observation that was not lost with a process is in a record.
+    unwritten = sum(h.core.estimate_store.estimates.fresh.get("", new_row())[WEIGHT] for h in model.hosts)
+    assert unwritten == pytest.approx(0.0, abs=0.01)
 
 
-def _count(core: Any, seen: list[float]) -> None:
+def _record_weights(core: Any, weights: list[float]) -> None:
+    """Append the weight of each observation that the core adds from now on to `weights`."""
     estimates = core.estimate_store.estimates
     weigh = estimates._weight
 
-    def counted(job_id: str) -> float:
-        seen.append(weigh(job_id))
-        return seen[-1]
+    def recorded(job_id: str) -> float:
+        weights.append(weigh(job_id))
+        return weights[-1]
 
-    estimates._weight = counted
+    estimates._weight = recorded
 
 
-def test_rows_survive_their_record() -> None:
+def test_rows_can_be_encoded_and_decoded() -> None:
     estimates = Estimates()
     for n in range(50):
         estimates.ran(replay.job_of(run_of(job=f"job-{n}")), (60 + n) * SECOND_US)
@@ -234,7 +237,7 @@
     assert EstimateRecord(1, {}, {}) == parse_record({"form": 1, "applied": {}, "rows": {}, "later": 3})
 
 
-def test_what_operators_ask_and_forget() -> None:
+def test_operators_can_list_and_forget_estimates() -> None:
     estimates = Estimates()
     for n in range(20):
         estimates.ran(replay.job_of(run_of(job=f"job-{n}", expect_s=50.0)), 100 * SECOND_US)
@@ -252,7 +255,7 @@
         ("POST", "/operators/estimates/forget", {"class": "pages"}, 200),
     ):
         assert answer_operator(estimates, method, path, sent)[0] == expected
-    # What the records still hold does not bring it back; nor does what another controller remembers.
+    # Neither the old records nor another controller's row bring a forgotten class back.
     estimates.load(known)
     assert answer_operator(estimates, "GET", "/operators/estimates/pages", None)[0] == 404
     assert merge(known["pages"], estimates.fresh["pages"])[WEIGHT] == 0
@@ -261,7 +264,7 @@
 @pytest.mark.parametrize(
     ("text", "named"), [(None, "No such file"), ("short", "at least 16"), ("two words of it, long", "one word")]
 )
-def test_an_operators_token_that_cannot_be_used_is_refused(tmp_path: Path, text: str | None, named: str) -> None:
+def test_an_unusable_operators_token_is_refused(tmp_path: Path, text: str | None, named: str) -> None:
     file = tmp_path / "token"
     if text is not None:
         file.write_text(text)
--- a/tests/test_inbox.py
+++ b/tests/test_inbox.py
@@ -1,4 +1,4 @@
-"""What a controller that is behind takes first, what it refuses, and that nothing is lost."""
+"""Tests of the input queue: what an overloaded controller takes first and refuses, and that nothing is lost."""
 
 import asyncio
 from types import SimpleNamespace
@@ -17,48 +17,48 @@
 SECOND = 1_000_000
 
 
-def told(number: int, status: int) -> list[Output]:
+def answered(number: int, status: int) -> list[Output]:
     return [Answer(number, status)]
 
 
 def put(inbox: Inbox, now_us: int, number: int, rank: Rank, timeout_us: int = FOR_EVER_US) -> list[Output]:
-    return inbox.put(now_us, rank, lambda: told(number, 200), lambda: told(number, 503), timeout_us)
+    return inbox.put(now_us, rank, lambda: answered(number, 200), lambda: answered(number, 503), timeout_us)
 
 
 INPUT = st.tuples(st.sampled_from(list(Rank)), st.integers(0, 3 * SECOND), st.integers(0, 5 * SECOND), st.booleans())
 
 
 @given(st.lists(INPUT, max_size=40), st.integers(1, SECOND))
-def test_each_input_is_answered_once_reports_first_and_in_turn(inputs, step_us):
+def test_each_input_is_answered_once_by_rank_and_in_order_of_arrival(inputs, step_us):
     inbox, now_us, seen = Inbox(), 0, []
-    came = {}
+    sent = {}
     for number, (rank, pause_us, timeout_us, takes) in enumerate(inputs):
         now_us += pause_us
-        came[number] = (rank, now_us + timeout_us)
+        sent[number] = (rank, now_us + timeout_us)
         seen += [(answer, now_us) for answer in put(inbox, now_us, number, rank, timeout_us)]
         if takes:
             seen += [(answer, now_us) for answer in inbox.take(now_us)]
     while inbox:
         now_us += step_us
-        waits = {
+        waiting_ranks = {
             rank for rank, queue in inbox._waiting.items() if any(entry.deadline_us >= now_us for entry in queue)
         }
         answers = inbox.take(now_us)
         seen += [(answer, now_us) for answer in answers]
-        good = [came[answer.request_id][0] for answer in answers if answer.status == 200]
-        assert len(good) <= 1
-        if Rank.LEASES in waits and good:
-            assert good == [Rank.LEASES]
+        served = [sent[answer.request_id][0] for answer in answers if answer.status == 200]
+        assert len(served) <= 1
+        if Rank.LEASES in waiting_ranks and served:
+            assert served == [Rank.LEASES]
     assert sorted(answer.request_id for answer, _ in seen) == list(range(len(inputs)))
     for answer, at_us in seen:
-        # Nothing that its sender has given up is looked at, and nothing is refused before.
-        assert (answer.status == 200) == (at_us <= came[answer.request_id][1])
+        # An input is refused if and only if its deadline has passed.
+        assert (answer.status == 200) == (at_us <= sent[answer.request_id][1])
     for rank in Rank:
-        order = [a.request_id for a, _ in seen if a.status == 200 and came[a.request_id][0] == rank]
+        order = [a.request_id for a, _ in seen if a.status == 200 and sent[a.request_id][0] == rank]
         assert order == sorted(order)
 
 
-def test_users_get_a_turn_and_no_more_wait_than_can_be_served():
+def test_users_get_their_share_and_the_number_of_waiting_users_is_bounded():
     inbox = Inbox()
     for number in range(MAX_WAITING_USERS):
         assert not put(inbox, 0, number, Rank.USERS)
@@ -67,8 +67,8 @@
         put(inbox, 0, number, Rank.DUTIES)
     taken = [inbox.take(0)[0].request_id for _ in range(40)]
     assert sum(number < MAX_WAITING_USERS for number in taken) == 40 // USERS_EVERY
-    # What is never given up is taken however late it is.
-    inbox.put(0, Rank.DUTIES, lambda: told(5000, 200))
+    # An input without a refusal is taken however late it is.
+    inbox.put(0, Rank.DUTIES, lambda: answered(5000, 200))
     while inbox:
         last = inbox.take(3600 * SECOND)
     assert last
@@ -91,8 +91,8 @@
     assert rank_of(path)[0] == rank
 
 
-def test_the_daemon_takes_inputs_at_once_until_its_turn_is_long(monkeypatch):
-    # On the loop that the service runs on: its clock does not stand still within a turn, as was believed at first.
+def test_the_daemon_takes_inputs_at_once_until_its_turn_is_used_up(monkeypatch):
+    # This runs on uvloop, as the service does: its clock advances within a turn of the event loop.
     taken, calls, now_s = [], [], [100.0]
     clock = SimpleNamespace(monotonic=lambda: now_s[0], monotonic_ns=lambda: int(now_s[0] * 1e9), time_ns=lambda: 0)
     monkeypatch.setattr(server, "time", clock)
@@ -108,13 +108,13 @@
         def busy(number: int, spent_s: float) -> list[Output]:
             calls.append(number)
             now_s[0] += spent_s
-            return told(number, 200)
+            return answered(number, 200)
 
-        # More than half a turn, and the loop comes round.
+        # The input takes more than half a turn, and then the event loop runs its next iteration.
         daemon._input(Rank.USERS, lambda: busy(0, 0.6 * TURN_S))
         await asyncio.sleep(0.001)
         daemon._input(Rank.USERS, lambda: busy(1, 0.6 * TURN_S))
-        # The rest of a long turn: what comes now waits, and is taken by rank.
+        # The turn is used up: inputs that arrive now wait, and are taken by rank.
         daemon._input(Rank.USERS, lambda: busy(2, 0.6 * TURN_S))
         assert calls == [0, 1, 2]
         for number, rank in ((3, Rank.USERS), (4, Rank.DUTIES), (5, Rank.LEASES)):
@@ -122,7 +122,7 @@
         assert calls == [0, 1, 2]
         while daemon._inbox:
             await asyncio.sleep(0.001)
-        # It keeps up again.
+        # The daemon keeps up again, so an input is taken at once.
         daemon._input(Rank.USERS, lambda: busy(6, 0.0))
         assert calls[-1] == 6
 
@@ -130,7 +130,7 @@
     assert [answer.request_id for answer in taken] == [0, 1, 2, 5, 4, 3, 6]
 
 
-def test_what_waits_behind_an_input_that_the_core_stumbles_over_is_taken_all_the_same():
+def test_inputs_queued_behind_one_that_raises_an_exception_are_still_taken():
     daemon = Daemon.__new__(Daemon)
     later, taken = [], []
     daemon.loop = SimpleNamespace(call_soon=later.append)
@@ -138,14 +138,14 @@
     daemon.core = SimpleNamespace(kernel=SimpleNamespace(behind_us=0))
     daemon.carry_out = taken.extend
     daemon._input(Rank.LEASES, lambda: 1 // 0)
-    daemon._input(Rank.USERS, lambda: told(1, 200))
+    daemon._input(Rank.USERS, lambda: answered(1, 200))
     with pytest.raises(ZeroDivisionError):
         later.pop()()
     later.pop()()
     assert [answer.request_id for answer in taken] == [1] and not later
 
 
-def test_how_late_timers_are_is_told_and_forgotten(caplog):
+def test_the_lateness_of_timers_is_logged_and_reset(caplog):
     lateness = Lateness()
     with caplog.at_level("DEBUG", logger="ashtray"):
         for n in range(101):
@@ -158,7 +158,7 @@
     ]
 
 
-def test_of_all_that_are_far_too_slow_none_loses_a_lease_and_users_are_answered():
+def test_overloaded_controllers_renew_all_leases_and_answer_users():
     model = Model(3, 3)
     model.checks()
     model.run(3)
@@ -168,10 +168,10 @@
     sessions = {name: worker.session for name, worker in model.workers.items()}
     for host in model.hosts:
         host.slow_us = 130_000
-    answered = []
+    statuses = []
     model.send, send = (
         lambda source, call, deliver: send(
-            source, call, lambda reply: (answered.append(reply.status) if source == "user" else None, deliver(reply))
+            source, call, lambda reply: (statuses.append(reply.status) if source == "user" else None, deliver(reply))
         ),
         model.send,
     )
@@ -180,8 +180,9 @@
         model.run(2)
     assert sum(host.inbox.refused for host in model.hosts) > 30
     assert all(model.workers[name].session == n for name, n in sessions.items() if name in model.workers)
-    # What cannot be served is told so: taken as it came, a quarter of all questions got no answer meanwhile.
-    assert answered.count(0) < 100 < answered.count(503)
+    # Requests that cannot be served are refused.  When inputs were taken in the order of arrival, a quarter of all
+    # queries got no answer in this time.
+    assert statuses.count(0) < 100 < statuses.count(503)
     for host in model.hosts:
         host.slow_us = 0
     model.calm()
