--- a/ashtray/client.py
+++ b/ashtray/client.py
@@ -29,7 +29,7 @@
         Retries after connection errors and after statuses 429, 503 and 504, as the protocol asks; raises
         `Unreachable` once the next attempt would begin after the timeout.
         """
-        until = time.monotonic() + self.timeout_s
+        deadline = time.monotonic() + self.timeout_s
         data = None if body is None else msgspec.msgpack.encode(body)
         headers = {"Content-Type": "application/msgpack"}
         if token is not None:
@@ -44,12 +44,12 @@
                 if response.status not in (429, 503, 504):
                     return response.status, msgspec.msgpack.decode(raw) if raw else None
                 reason = f"{self.host}:{self.port} answered with status {response.status}"
-                after = response.getheader("Retry-After", "1")
-                pause = min(float(after), 30.0) if after.isdigit() else 1.0
+                retry_after = response.getheader("Retry-After", "1")
+                pause = min(float(retry_after), 30.0) if retry_after.isdigit() else 1.0
             except (OSError, http.client.HTTPException, msgspec.DecodeError) as error:
                 reason = f"{self.host}:{self.port}: {error}"
             finally:
                 connection.close()
-            if time.monotonic() + pause > until:
+            if time.monotonic() + pause > deadline:
                 raise Unreachable(reason)
             time.sleep(pause)
--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -68,7 +68,7 @@
         self.store = StoreClient(
             self.kernel, settings.services.state, settings.cluster.state, nodes=max(settings.cluster.nodes, 1)
         )
-        self.follower = Follower(self.kernel, self.store, ROOT, NOW, self.cluster_state, self._changed)
+        self.follower = Follower(self.kernel, self.store, ROOT, NOW, self.cluster_state, self._on_state_changed)
         base = Base(
             settings,
             operator_settings,
@@ -138,7 +138,7 @@
         settled = yield from self.desk.delivery.settle(cancelled)
         self.kernel.answer(request_id, 200, msgspec.to_builtins(CancellationReceipt(settled)))
 
-    def _changed(self) -> None:
+    def _on_state_changed(self) -> None:
         self.limits.refused = self.store.refused
         if not self.limits.alike and (self.presence.upgraded() or self.cluster_state.lean or self.store.refused):
             self.kernel.log("info", "all controllers run this version: records are written in lean form from now on")
@@ -227,7 +227,7 @@
         """Begin to hand all duties over, because the process is to end.  `ended` is set when that is done."""
         self.kernel.advance(now_us, wall_us)
         if not self.presence.leaving:
-            self.kernel.log("info", "told to end: hands its duties over")
+            self.kernel.log("info", "told to end: handing its duties over")
             self.kernel.spawn(self._hand_over())
         return self.kernel.run()
 
@@ -306,7 +306,7 @@
             allowed = "POST" if parts[2:] == ["abort"] else "GET"
             if method == allowed:
                 if not JOB_ID.fullmatch(parts[1]):
-                    kernel.answer(request_id, 400, {"error": "a job id is job- and digits"})
+                    kernel.answer(request_id, 400, {"error": "a job id consists of job- and digits"})
                 elif parts[2:] == ["abort"]:
                     self.jobs.abort(request_id, parts[1], forwarded)
                 elif parts[2:] == ["explain"]:
--- a/ashtray/estimates/model.py
+++ b/ashtray/estimates/model.py
@@ -44,8 +44,8 @@
 FADE_THRESHOLD = 1.05
 """A row fades once its weight exceeds `MAX_WEIGHT` by this factor."""
 CUSUM_DRIFT, CUSUM_ALARM, CUSUM_CLIP = 0.75, 9.0, 3.5
-"""Page's two-sided cumulative sum of standardised residuals.  For each observation: the amount subtracted, the sum
-that counts as a change, and the limit of one residual."""
+"""Page's two-sided cumulative sum (CUSUM) of standardised residuals: the amount subtracted at each observation, the
+sum above which the level counts as changed, and the limit of one residual."""
 INITIAL_VAR = 0.25
 """The variance before anything is known, in squared logarithms: a standard deviation of a factor of 1.65."""
 MIN_VAR = 0.0025
--- a/ashtray/estimates/operators.py
+++ b/ashtray/estimates/operators.py
@@ -23,7 +23,9 @@
         if not isinstance(name, str) or not name:
             return 400, {"error": "class: expected a name"}
         forgotten = estimates.forget(name)
-        return (200, {"forgotten": forgotten}) if forgotten else (404, {"error": f"nothing is known of {name}"})
+        return (
+            (200, {"forgotten": forgotten}) if forgotten else (404, {"error": f"there are no estimates for {name}"})
+        )
     if path != PATH and not path.startswith(PATH + "/"):
         return 404, {"error": "no such path"}
     if method != "GET":
@@ -31,7 +33,7 @@
     name = unquote(path[len(PATH) + 1 :])
     rows = list_levels(estimates, name)
     if name and not rows:
-        return 404, {"error": f"nothing is known of {name}"}
+        return 404, {"error": f"there are no estimates for {name}"}
     return 200, {"estimates": rows}
 
 
