--- a/ashtray/client.py
+++ b/ashtray/client.py
@@ -1,4 +1,4 @@
-"""A user's side of the protocol, for the command line."""
+"""The HTTP client of the command line."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Unreachable(Exception):
-    """No answer that counts came in time."""
+    """No final answer came within the timeout; the message names the last failure."""
 
 
 class Client:
-    """Sends requests to one controller, or to a load balancer before several."""
+    """Sends requests to one controller, or to a load balancer in front of several."""
 
     def __init__(self, server: str, timeout_s: float) -> None:
         host, colon, port = server.rpartition(":")
@@ -24,8 +24,12 @@
         self.timeout_s = timeout_s
 
     def ask(self, method: str, path: str, body: Any = None, token: str | None = None) -> tuple[int, Any]:
-        """One request, repeated as the protocol asks while the service cannot take it."""
-        until = time.monotonic() + self.timeout_s
+        """Send a request and return the status and the decoded body of the answer.
+
+        Retries after connection errors and after statuses 429, 503 and 504, as the protocol asks; raises
+        `Unreachable` once the next attempt would begin after the timeout.
+        """
+        deadline = time.monotonic() + self.timeout_s
         data = None if body is None else msgspec.msgpack.encode(body)
         headers = {"Content-Type": "application/msgpack"}
         if token is not None:
@@ -39,13 +43,13 @@
                 raw = response.read()
                 if response.status not in (429, 503, 504):
                     return response.status, msgspec.msgpack.decode(raw) if raw else None
-                reason = f"{self.host}:{self.port} answers {response.status}"
-                after = response.getheader("Retry-After", "1")
-                pause = min(float(after), 30.0) if after.isdigit() else 1.0
+                reason = f"{self.host}:{self.port} answered with status {response.status}"
+                retry_after = response.getheader("Retry-After", "1")
+                pause = min(float(retry_after), 30.0) if retry_after.isdigit() else 1.0
             except (OSError, http.client.HTTPException, msgspec.DecodeError) as error:
                 reason = f"{self.host}:{self.port}: {error}"
             finally:
                 connection.close()
-            if time.monotonic() + pause > until:
+            if time.monotonic() + pause > deadline:
                 raise Unreachable(reason)
             time.sleep(pause)
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -238,7 +238,7 @@
     "eras-are-added": ("ashtray/estimates/model.py", "if row[ERA] != other[ERA]:", "if False:"),
     "one-job-drowns-all": (
         "ashtray/estimates/learned.py",
-        "return float((1.0 + seen / CROWD) ** -1.5)",
+        "return float((1.0 + seen / JOB_WEIGHT_SCALE) ** -1.5)",
         "return 1.0",
     ),
     "adopted-twice": (
@@ -351,7 +351,7 @@
         "worker.keep_until_us = now + KEEP_WORKER_US\n            return self.peers",
         "pass\n            return self.peers",
     ),
-    "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(UNWELL_US)", ""),
+    "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(CUT_OFF_US)", ""),
     "copy-is-a-report": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
     "token-below-the-record": (
         DESK,
@@ -450,9 +450,9 @@
     "one-known-ends-all": [
         "tests/test_recovery.py::test_a_crowd_shares_transactions_and_one_that_is_known_holds_up_nobody"
     ],
-    "failures-teach": ["tests/test_estimates.py::test_only_what_ran_whole_says_how_long_a_task_takes"],
+    "failures-teach": ["tests/test_estimates.py::test_only_complete_runs_count_as_run_times"],
     "eras-are-added": ["tests/test_estimates.py"],
-    "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_drown_the_others"],
+    "one-job-drowns-all": ["tests/test_estimates.py::test_one_large_job_does_not_outweigh_the_others"],
     "adopted-twice": ["tests/test_safety.py::test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group"],
     "loaded-after-the-pages": ["tests/test_safety.py::test_nothing_is_placed_on_records_read_at_different_moments"],
     "done-tasks-dropped": [
