--- a/ashtray/cli.py
+++ b/ashtray/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: runs a controller, checks settings files, and sends users' requests to the service."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
 EXIT_CODES = """exit codes:
   0  done as asked
-  1  refused, unknown, or not so (see the message)
+  1  refused, not found or failed (see the message)
   2  the command line or a settings file cannot be used
-  3  no controller gave an answer in time"""
+  3  no controller answered in time"""
 
 
 def _logging() -> None:
@@ -32,7 +32,10 @@
 
 
 def _load(config: str, operators: str | None) -> tuple[Settings, OperatorSettings]:
-    """Both files, each checked, and the operators' against what the platform allows."""
+    """Read and check both files, and check the group size against the state service's limits.
+
+    Raises `SettingsError` with one line.
+    """
     settings, operator_settings = load_settings(config), load_operator_settings(operators)
     from ashtray.store.client import Limits
     from ashtray.workers.folding import most_group_size
@@ -83,7 +86,7 @@
 
 
 def _fail(reason: str, code: int) -> int:
-    """Say on standard error why a command failed; returns its exit code."""
+    """Print on standard error why a command failed, and return its exit code."""
     print(f"ashtray: {reason}", file=sys.stderr)
     return code
 
@@ -135,10 +138,10 @@
 
 
 def _table(rows: list[dict[str, Any]]) -> str:
-    """What was learnt, a level a line."""
+    """Format the learned run times, one level on each line."""
     if not rows:
         return "nothing has been learnt yet"
-    lines = [f"{'class/team/image/size':42} {'seen':>6} {'of estimate':>11} {'estimates':>9} {'80% within':>17} anew"]
+    lines = [f"{'class/team/image/size':42} {'seen':>6} {'of estimate':>11} {'estimates':>9} {'80% within':>17} eras"]
     for row in rows:
         name = row["level"] or "(all)"
         says = "say much" if row["slope"] > -0.35 else "say some" if row["slope"] > -0.75 else "say little"
@@ -162,7 +165,7 @@
         return _fail(f"{args.file}: not JSON: {error}", EXIT_USAGE)
     if args.waits_on:
         if not isinstance(job, dict):
-            return _fail(f"{args.file}: the job is not a map", EXIT_USAGE)
+            return _fail(f"{args.file}: the job is not a JSON object", EXIT_USAGE)
         job["waits_on"] = [*(job.get("waits_on") or ()), *args.waits_on]
     return _ask(args, "POST", "/submissions", job)
 
@@ -178,7 +181,7 @@
 def _estimates(args: argparse.Namespace) -> int:
     what: list[str] = args.what
     if len(what) > 2 or (len(what) == 2 and what[0] != "forget") or what == ["forget"]:
-        return _fail("estimates: expected nothing, CLASS, or forget CLASS", EXIT_USAGE)
+        return _fail("estimates: expected no argument, CLASS, or forget CLASS", EXIT_USAGE)
     path = args.token_file or os.environ.get("ASHTRAY_TOKEN_FILE")
     if path is None:
         return _fail("estimates: --token-file or ASHTRAY_TOKEN_FILE is needed", EXIT_USAGE)
@@ -197,7 +200,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """The parser of the command line; each command sets `call` to the function that runs it."""
+    """Return the parser of the command line; each command sets `call` to the function that runs it."""
     top = argparse.ArgumentParser(
         prog="ashtray",
         description="A cluster scheduler: run a controller, check its settings, or use the service.",
@@ -207,13 +210,15 @@
     top.add_argument("--version", action="version", version=f"ashtray {__version__}")
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
-    run = commands.add_parser("run", help="run one controller", description="Run one controller until it is killed.")
+    run = commands.add_parser(
+        "run", help="run one controller", description="Run one controller until it gets SIGTERM."
+    )
     run.add_argument("--config", required=True, metavar="FILE", help="the platform's settings (TOML)")
     run.add_argument("--operators", metavar="FILE", help="the operators' own settings (S-expressions)")
     run.set_defaults(call=_run)
 
     check = commands.add_parser(
-        "check", help="check settings files", description="Check settings files and show what is in force."
+        "check", help="check settings files", description="Check settings files and show the resulting settings."
     )
     check.add_argument("--config", metavar="FILE", help="the platform's settings (TOML)")
     check.add_argument("--operators", metavar="FILE", help="the operators' own settings (S-expressions)")
@@ -227,23 +232,29 @@
         metavar="HOST:PORT",
         help="a controller or its load balancer (default: $ASHTRAY_SERVER, %(default)s)",
     )
-    user.add_argument("--timeout", type=float, default=60.0, metavar="S", help="how long to try (default: 60)")
+    user.add_argument(
+        "--timeout", type=float, default=60.0, metavar="S", help="how many seconds to retry for (default: 60)"
+    )
     user.add_argument("--json", action="store_true", help="print the answer as JSON")
     submit = commands.add_parser(
         "submit", parents=[user], help="submit a job", description="Submit a job described in JSON."
     )
-    submit.add_argument("file", metavar="FILE", help="the job, as the protocol's map in JSON; - reads standard input")
+    submit.add_argument(
+        "file",
+        metavar="FILE",
+        help="the job, as a JSON object with the fields of the protocol; - reads standard input",
+    )
     submit.add_argument(
         "--waits-on",
         action="append",
         metavar="JOB",
-        help="a job that must be done before this one starts; may be given several times, beside those in the file",
+        help="a job that must be done before this one starts; can be repeated, adds to the jobs named in the file",
     )
     submit.set_defaults(call=_submit)
     for name, call, what in (
-        ("status", _status, "Tell a job's state."),
+        ("status", _status, "Show a job's state."),
         ("abort", _abort, "Cancel a job."),
-        ("explain", _explain, "Tell why a job waits, or why it runs where it does, rule by rule."),
+        ("explain", _explain, "Explain why a job waits, or why it runs where it does, rule by rule."),
     ):
         command = commands.add_parser(name, parents=[user], help=what.rstrip(".").lower(), description=what)
         command.add_argument("job", metavar="JOB", help="the job's id, such as job-000412")
@@ -251,8 +262,8 @@
     estimates = commands.add_parser(
         "estimates",
         parents=[user],
-        help="show or forget learnt run times",
-        description="Show what was learnt of run times, by class; forget a class, say after it has changed.",
+        help="show or forget learned run times",
+        description="Show the learned run times by class, or forget those of a class, say after its jobs changed.",
     )
     estimates.add_argument("what", nargs="*", metavar="CLASS | forget CLASS", help="a class, or forget and a class")
     estimates.add_argument(
@@ -263,7 +274,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command and return the exit code; `argv` is without the program's name."""
+    """Run one command and return the exit code; `argv` does not include the program's name."""
     args = parser().parse_args(argv)
     try:
         return int(args.call(args))
--- a/ashtray/daemon/__init__.py
+++ b/ashtray/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: the only place with sockets, timers and clocks."""
+"""The daemon: the only package that uses sockets, timers and clocks."""
--- a/ashtray/daemon/server.py
+++ b/ashtray/daemon/server.py
@@ -1,4 +1,4 @@
-"""Runs the core: carries its outputs out and brings it its inputs."""
+"""Runs the core in a process: passes inputs to it and carries out its outputs."""
 
 from __future__ import annotations
 
@@ -29,33 +29,34 @@
 
 log = logging.getLogger("ashtray")
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-HAND_OVER_S = 3.0
-"""How long a process that is told to end goes on, for its lease and for what it has been asked."""
-ADDRESS_S = 10.0
-"""How long an address that is in use is waited for: the process before this one may not be quite gone yet."""
-ADDRESS_AGAIN_S = 0.05
+SHUTDOWN_LIMIT_S = 3.0
+"""How long a process that gets SIGTERM may take to give its lease back and to answer its open requests."""
+ADDRESS_WAIT_S = 10.0
+"""How long to wait for an address that is in use: the previous process may not have ended yet."""
+ADDRESS_RETRY_S = 0.05
 GC_THRESHOLDS = (10_000, 20, 20)
+"""The thresholds of Python's garbage collector for its three generations."""
 TURN_S = 0.1
-"""When the core has taken so long within one turn of the loop, the process is behind: what else came in it waits in
-the inbox, so that the sockets are read again before the next is taken."""
-BEHIND_US, TELL_US = 1_000_000, 10_000_000
-"""An input that has waited so long is worth a line in the log, one in so long a time."""
+"""The time that the core may use within one turn of the event loop.  After it the process counts as behind, and
+further inputs of that turn wait in the inbox, so that the sockets are read before the core takes the next input."""
+BEHIND_LOG_US, LOG_INTERVAL_US = 1_000_000, 10_000_000
+"""An input that has waited for `BEHIND_LOG_US` causes a log line, at most one in `LOG_INTERVAL_US`."""
 _HEADERS = {"Content-Type": "application/msgpack"}
 
 
 class Lateness:
-    """How late timers fire, told at debug: whatever else waits in a turn of the loop waits as long."""
+    """Measures how late timers fire and logs it at debug level; other inputs of the event loop wait as long."""
 
     def __init__(self) -> None:
         self._us: list[int] = []
         self._since_us: int | None = None
 
     def note(self, now_us: int, late_us: int) -> None:
-        """Take one figure in; every `TELL_US` what there was is told and forgotten."""
+        """Add one measurement; every `LOG_INTERVAL_US` the statistics are logged and cleared."""
         self._us.append(max(late_us, 0))
         if self._since_us is None:
             self._since_us = now_us
-        elif now_us - self._since_us > TELL_US:
+        elif now_us - self._since_us > LOG_INTERVAL_US:
             self._us.sort()
             number = len(self._us)
             median, most, worst = (self._us[n] / 1000 for n in (number // 2, number * 99 // 100, number - 1))
@@ -65,28 +66,28 @@
 
 
 class Daemon:
-    """The process around a core: its sockets, its timers and its log."""
+    """The process around a core: its sockets, timers and log."""
 
     def __init__(self, settings: Settings, operator_settings: OperatorSettings, token: str | None = None) -> None:
-        """`token` is the operators': without one their paths are off."""
+        """`token` is the operators' bearer token; without it the operators' paths are disabled."""
         self.settings = settings
         self._bearer = None if token is None else f"Bearer {token}".encode()
         self.core = Controller(settings, operator_settings, random.Random(), log.isEnabledFor(logging.DEBUG))
         self.loop = asyncio.get_running_loop()
-        self._wake: asyncio.TimerHandle | None = None
+        self._wake_timer: asyncio.TimerHandle | None = None
         self._wake_us: int | None = None
         self._answers: dict[int, asyncio.Future[Answer]] = {}
         self._next_request = 0
         self._inbox = Inbox()
         self._draining = False
-        self._spent_s = 0.0
-        """What the core has taken since the loop was last seen to begin a turn."""
-        self._marked = False
-        self._told_us = -TELL_US
+        self._core_time_s = 0.0
+        """The time that the core has used since the event loop last reported the start of a turn."""
+        self._turn_end_scheduled = False
+        self._logged_us = -LOG_INTERVAL_US
         self._lateness = Lateness() if log.isEnabledFor(logging.DEBUG) else None
         self._tasks: set[asyncio.Task[None]] = set()
         sockets = settings.cluster.quota.sockets
-        # Half of the sockets are for those who call, a quarter for calls: the rest is a reserve.
+        # Half of the sockets are for incoming connections, a quarter for outgoing calls; the rest is a reserve.
         connector = aiohttp.TCPConnector(limit=max(sockets // 4, 8), keepalive_timeout=30, use_dns_cache=False)
         self.client = aiohttp.ClientSession(
             connector=connector,
@@ -96,13 +97,13 @@
         )
 
     def now(self) -> tuple[int, int]:
-        """The monotonic time and the time of day, in microseconds."""
-        # Not the loop's time, which is taken once a turn: after a halt in the middle of one, inputs would carry a
-        # time from before it, and what was read long ago would count as read lately.
+        """Return the monotonic time and the time of day, in microseconds."""
+        # The event loop updates its own time once a turn.  If the process was paused within a turn, inputs would
+        # carry a time from before the pause, and records that were read long ago would count as fresh.
         return time.monotonic_ns() // 1000, time.time_ns() // 1000
 
     def carry_out(self, outputs: list[Output]) -> None:
-        """Send, answer and log what the core has put out, and set the timer for its next wake."""
+        """Carry out the sends, answers and log lines of the core, and set the timer for its next wake-up."""
         for output in outputs:
             if isinstance(output, Send):
                 task = self.loop.create_task(self._send(output.call_id, output.call))
@@ -116,52 +117,53 @@
                 log.log(_LEVELS[output.level], output.line)
         wake_us = self.core.kernel.next_wake_us()
         if wake_us != self._wake_us:
-            if self._wake is not None:
-                self._wake.cancel()
+            if self._wake_timer is not None:
+                self._wake_timer.cancel()
             self._wake_us = wake_us
             if wake_us is not None:
                 delay_s = max(wake_us - self.now()[0], 0) / 1_000_000
-                self._wake = self.loop.call_later(delay_s + 0.0005, self._on_wake)
+                self._wake_timer = self.loop.call_later(delay_s + 0.0005, self._on_wake)
 
     def _on_wake(self) -> None:
-        # Its time stays known until the core has taken it, or a timer that waits its turn would be set again at once.
-        self._wake = None
+        # `_wake_us` stays set until the core has handled this wake-up.  Otherwise `carry_out` would set the timer
+        # again at once while the wake-up waits in the inbox.
+        self._wake_timer = None
         if self._lateness is not None and self._wake_us is not None:
             now_us = self.now()[0]
             self._lateness.note(now_us, now_us - self._wake_us)
         if self._keeps_up():
-            self._take(self._woken)
+            self._take(self._wake_core)
         else:
-            self._inbox.wake(self.now()[0], self._woken)
+            self._inbox.wake(self.now()[0], self._wake_core)
             self._drain_soon()
 
-    def _woken(self) -> list[Output]:
+    def _wake_core(self) -> list[Output]:
         self._wake_us = None
         return self.core.wake(*self.now())
 
     def _keeps_up(self) -> bool:
-        """Whether nothing waits, and this turn of the loop is a short one so far."""
-        if self._inbox or self._spent_s >= TURN_S:
+        """Return whether the inbox is empty and the core has used less than `TURN_S` in this turn."""
+        if self._inbox or self._core_time_s >= TURN_S:
             return False
         self.core.kernel.behind_us = 0
         return True
 
     def _take(self, take: Callable[[], list[Output]]) -> None:
-        """Let the core take an input, and see how long that takes.
+        """Pass an input to the core and measure how long the core takes.
 
-        `uvloop` tells nobody when a turn began (its clock is read anew each time it is asked).  So once there is
-        something to be seen the loop is asked to say that it has come round; in quiet times it is hardly ever asked.
+        `uvloop` does not tell when a turn began (its clock is read anew on each call).  So once the core has used
+        half of `TURN_S`, a callback is scheduled that marks the next turn; under light load this hardly ever happens.
         """
         began_s = time.monotonic()
         self.carry_out(take())
-        self._spent_s += time.monotonic() - began_s
-        if self._spent_s >= TURN_S / 2 and not self._marked:
-            self._marked = True
-            self.loop.call_soon(self._come_round)
+        self._core_time_s += time.monotonic() - began_s
+        if self._core_time_s >= TURN_S / 2 and not self._turn_end_scheduled:
+            self._turn_end_scheduled = True
+            self.loop.call_soon(self._on_next_turn)
 
-    def _come_round(self) -> None:
-        self._marked = False
-        self._spent_s = 0.0
+    def _on_next_turn(self) -> None:
+        self._turn_end_scheduled = False
+        self._core_time_s = 0.0
 
     def _input(
         self,
@@ -170,7 +172,7 @@
         refuse: Callable[[], list[Output]] | None = None,
         patience_us: int = FOR_EVER_US,
     ) -> None:
-        """Hand an input to the core: now, or where the process is behind in its turn."""
+        """Pass an input to the core: at once, or through the inbox if the process is behind."""
         if self._keeps_up():
             self._take(take)
             return
@@ -185,24 +187,24 @@
             self.loop.call_soon(self._drain)
 
     def _drain(self) -> None:
-        """Take what waits for the time of a turn, then let the sockets be read."""
+        """Handle waiting inputs for up to `TURN_S`, then return to the event loop so that the sockets are read."""
         self._draining = False
         until_s = time.monotonic() + TURN_S
         now_us = self.now()[0]
         behind_us = self._inbox.behind_us(now_us)
-        if behind_us > BEHIND_US and now_us > self._told_us + TELL_US:
+        if behind_us > BEHIND_LOG_US and now_us > self._logged_us + LOG_INTERVAL_US:
             log.info(
                 "behind by %.1f s: reports are taken first, %d requests were refused",
                 behind_us / 1e6,
                 self._inbox.refused,
             )
-            self._told_us, self._inbox.refused = now_us, 0
+            self._logged_us, self._inbox.refused = now_us, 0
         self.core.kernel.behind_us = behind_us
         try:
             while self._inbox and time.monotonic() < until_s:
                 self.carry_out(self._inbox.take(self.now()[0]))
         finally:
-            # Also when an input made the core stumble: what waits behind it is taken all the same.
+            # Also after an exception in the core: the inputs that wait behind the failed input are still handled.
             if self._inbox:
                 self._drain_soon()
 
@@ -231,7 +233,7 @@
             return Reply(0)
 
     async def handle(self, request: web.BaseRequest, from_peer: bool) -> web.StreamResponse:
-        """Answer one HTTP request, from another controller or from anybody else."""
+        """Answer one HTTP request from a peer (`from_peer`), or from a user, a worker or an operator."""
         readable, body = True, None
         if request.can_read_body:
             if request.content_length is not None and request.content_length > MAX_BODY and not from_peer:
@@ -246,7 +248,7 @@
         if request.path.startswith("/operators/") and not from_peer and self._bearer is not None:
             sent = request.headers.get("Authorization", "").encode("utf-8", "surrogateescape")
             if not hmac.compare_digest(sent, self._bearer):
-                return self._response(Answer(0, 401, {"error": "the operators' bearer token is needed"}))
+                return self._response(Answer(0, 401, {"error": "the operators' bearer token is missing or wrong"}))
             take = self.core.operator_request
         self._next_request += 1
         request_id = self._next_request
@@ -274,12 +276,12 @@
         return response
 
     async def _listen(self, server: web.Server, host: str, port: int) -> None:
-        """Take an address; one that the process before this one has not given up yet is asked for again.
+        """Listen on an address, and retry while the previous process still uses it.
 
-        Raises OSError when it is still in use after `ADDRESS_S`, and at once for anything else.
+        Raises OSError if the address is still in use after `ADDRESS_WAIT_S`, and at once for any other error.
         """
-        until_s = time.monotonic() + ADDRESS_S
-        told = False
+        until_s = time.monotonic() + ADDRESS_WAIT_S
+        logged = False
         while True:
             try:
                 await self.loop.create_server(server, host, port, backlog=256)
@@ -287,13 +289,13 @@
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or time.monotonic() > until_s:
                     raise
-            if not told:
+            if not logged:
                 log.info("%s:%s is in use still: waiting for it", host, port)
-                told = True
-            await asyncio.sleep(ADDRESS_AGAIN_S)
+                logged = True
+            await asyncio.sleep(ADDRESS_RETRY_S)
 
     async def serve(self) -> None:
-        """Listen on both addresses until the process is told to end."""
+        """Listen on both addresses until the process gets SIGTERM, then hand over and return."""
 
         async def public(request: web.BaseRequest) -> web.StreamResponse:
             return await self.handle(request, from_peer=False)
@@ -307,13 +309,13 @@
             await self._listen(server, host, int(port))
         log.info("listening on %s", self.settings.api_addr)
         self.carry_out(self.core.start(*self.now()))
-        told = asyncio.Event()
+        stop_requested = asyncio.Event()
         with contextlib.suppress(NotImplementedError, RuntimeError, ValueError, OSError):
-            # Where the platform has no signals a process is simply killed.
-            self.loop.add_signal_handler(signal.SIGTERM, told.set)
-        await told.wait()
+            # On a platform without signal handlers the process ends without a handover.
+            self.loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+        await stop_requested.wait()
         self.carry_out(self.core.stop(*self.now()))
-        until_s = time.monotonic() + HAND_OVER_S
+        until_s = time.monotonic() + SHUTDOWN_LIMIT_S
         while time.monotonic() < until_s and (self._answers or not self.core.ended):
             await asyncio.sleep(0.02)
         await self.client.close()
@@ -324,9 +326,10 @@
 
 
 def run(settings: Settings, operator_settings: OperatorSettings, token: str | None = None) -> Any:
-    """Run a controller until it is told to end."""
-    # Records are decoded into thousands of small objects, which nearly all live on or go by themselves: looking for
-    # circles among them after each 700 took a tenth of the time of reading a record.
+    """Run a controller until it gets SIGTERM."""
+    # Records are decoded into thousands of small objects, and reference counting frees nearly all that do not stay
+    # alive.  With the default threshold of 700 objects, searching for reference cycles took a tenth of the time of
+    # reading a record.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     return uvloop.run(_main(settings, operator_settings, token))
--- a/tests/test_inbox.py
+++ b/tests/test_inbox.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ashtray.daemon import server
-from ashtray.daemon.server import TELL_US, TURN_S, Daemon, Lateness
+from ashtray.daemon.server import LOG_INTERVAL_US, TURN_S, Daemon, Lateness
 from ashtray.inbox import FOR_EVER_US, MOST_WAITING, USERS_TURN, Inbox, Rank, rank_of
 from ashtray.kernel import Answer, Output
 from tests.model import Model, submission
@@ -98,8 +98,8 @@
     async def play() -> None:
         daemon = Daemon.__new__(Daemon)
         daemon.loop = asyncio.get_running_loop()
-        daemon._inbox, daemon._draining, daemon._told_us, daemon._lateness = Inbox(), False, 0, None
-        daemon._spent_s, daemon._marked = 0.0, False
+        daemon._inbox, daemon._draining, daemon._logged_us, daemon._lateness = Inbox(), False, 0, None
+        daemon._core_time_s, daemon._turn_end_scheduled = 0.0, False
         daemon.core = SimpleNamespace(kernel=SimpleNamespace(behind_us=0))
         daemon.carry_out = taken.extend
 
@@ -132,7 +132,7 @@
     daemon = Daemon.__new__(Daemon)
     later, taken = [], []
     daemon.loop = SimpleNamespace(call_soon=later.append)
-    daemon._inbox, daemon._draining, daemon._told_us, daemon._spent_s = Inbox(), False, 0, TURN_S
+    daemon._inbox, daemon._draining, daemon._logged_us, daemon._core_time_s = Inbox(), False, 0, TURN_S
     daemon.core = SimpleNamespace(kernel=SimpleNamespace(behind_us=0))
     daemon.carry_out = taken.extend
     daemon._input(Rank.LEASES, lambda: 1 // 0)
@@ -147,9 +147,9 @@
     lateness = Lateness()
     with caplog.at_level("DEBUG", logger="ashtray"):
         for n in range(101):
-            lateness.note(n * TELL_US // 100, n * 1000)
-        lateness.note(TELL_US + 1, -5)
-        lateness.note(3 * TELL_US, 1000)
+            lateness.note(n * LOG_INTERVAL_US // 100, n * 1000)
+        lateness.note(LOG_INTERVAL_US + 1, -5)
+        lateness.note(3 * LOG_INTERVAL_US, 1000)
     assert caplog.messages == [
         "late, in ms: 102 timers median 50.0, 99% 99.0, worst 100.0",
         "late, in ms: 1 timers median 1.0, 99% 1.0, worst 1.0",
