--- a/ashtray/cli.py
+++ b/ashtray/cli.py
@@ -12,7 +12,7 @@
 from urllib.parse import quote
 
 from ashtray import __version__
-from ashtray.config.operators import SETTINGS, OperatorSettings, load_operator_settings, load_token, place_of
+from ashtray.config.operators import SETTINGS, OperatorSettings, load_operator_settings, load_token, position_of
 from ashtray.config.settings import Settings, SettingsError, load_settings, warnings
 
 EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
@@ -43,8 +43,10 @@
     most = most_group_size(Limits.of(settings.cluster.state))
     if operators is not None and operator_settings.group_size is not None and operator_settings.group_size > most:
         number = operator_settings.group_size
-        reason = f"{number} machines do not fit a value of the state service (cluster.state in {config})"
-        raise SettingsError(f"{operators}: {place_of(operators, 'group-size')}: group-size: {reason}: at most {most}")
+        reason = f"{number} machines do not fit a value of the state service (see cluster.state in {config})"
+        raise SettingsError(
+            f"{operators}: {position_of(operators, 'group-size')}: group-size: {reason}: at most {most}"
+        )
     load_token(operator_settings)
     return settings, operator_settings
 
--- a/ashtray/config/operators.py
+++ b/ashtray/config/operators.py
@@ -1,4 +1,4 @@
-"""The operators' own settings: an S-expression file, every setting optional, checked, with a documented default.
+"""The operators' own settings: an S-expression file in which every setting is optional and checked.  For example:
 
 (ashtray
   (group-size 4)        ; comments run to the end of the line
@@ -30,7 +30,7 @@
     widen_cap: float = 0.1
     retries: int = 20
     group_size: int | None = None
-    """None: as many as the state service's limit for a value allows."""
+    """Machines in a group record; None: as many as the state service's limit for a value allows."""
     rules: tuple[str, ...] = RULES
     weights: tuple[float, float, float] = (1.0, 1.0, 1.0)
     boot_patience: float = 2.5
@@ -38,12 +38,12 @@
     patience_s: float = 6.0
     keep_estimates: bool = True
     token_file: str | None = None
-    """Where the operators' bearer token is; without it their paths are off."""
+    """The file with the operators' bearer token; None: the operators' paths are disabled."""
 
 
 @dataclass(frozen=True)
 class Setting:
-    """One entry of the operators' file: the field that it sets, its meaning, and how it is read and checked."""
+    """One setting of the operators' file: the field that it sets, its meaning, and how it is read and checked."""
 
     field: str
     meaning: str
@@ -98,29 +98,35 @@
 SETTINGS = {
     "packing-buckets": _setting("buckets", "buckets of the packing rule's score", int, 1, 100),
     "conflict-window": _setting("window", "commits over which conflicts are counted", int, 5, 10_000),
-    "top-list": _setting("top", "machines that a widened pick chooses among", int, 1, 10_000),
-    "avoidance-cap": _setting("widen_cap", "greatest share of widened picks", float, 0.0, 1.0),
-    "retry-limit": _setting("retries", "commits tried before a placement is planned anew", int, 1, 1000),
-    "group-size": _setting("group_size", "machines in a record (by default what a value can hold)", int, 1, 1000),
-    "rules": Setting("rules", "preference rules, in their order", _rules, f"any of {', '.join(RULES)}, each once"),
+    "top-list": _setting("top", "best machines among which a widened pick chooses", int, 1, 10_000),
+    "avoidance-cap": _setting("widen_cap", "greatest share of picks that are widened", float, 0.0, 1.0),
+    "retry-limit": _setting("retries", "commits tried before a placement is planned again", int, 1, 1000),
+    "group-size": _setting("group_size", "machines in a group record (default: what a value can hold)", int, 1, 1000),
+    "rules": Setting(
+        "rules", "preference rules, the most important first", _rules, f"any of {', '.join(RULES)}, each once"
+    ),
     "weights": Setting("weights", "packing weights of CPUs, GPUs, memory", _weights, "three numbers from 0 to 100"),
-    "boot-patience": _setting("boot_patience", "boot times after which a machine is given up", float, 1.0, 20.0),
+    "boot-patience": _setting(
+        "boot_patience", "boot times after which a machine that has not reported is given up", float, 1.0, 20.0
+    ),
     "idle-boots": _setting("idle_boots", "boot times for which an idle machine is kept", float, 0.0, 100.0),
     "keep-estimates": Setting(
-        "keep_estimates", "whether learnt run times are kept in the state service", _yes_or_no, "yes or no"
+        "keep_estimates", "whether learned run times are kept in the state service", _yes_or_no, "yes or no"
     ),
     "operators-token": Setting(
         "token_file",
-        "file with the bearer token of the operators' own paths (left out: they are off)",
+        "file with the bearer token of the operators' own paths (left out: these are disabled)",
         _text,
         'a path in quotes, such as "/etc/ashtray/token"',
     ),
-    "patience": _setting("patience_s", "seconds of waiting worth the cheapest price once more", float, 0.0, 3600.0),
+    "patience": _setting(
+        "patience_s", "seconds that a job waits rather than pay the cheapest price once more", float, 0.0, 3600.0
+    ),
 }
 
 
-def _place(text: str, name: str, nth: int = 0) -> str:
-    """Line and column of a setting, found past comments."""
+def _position(text: str, name: str, nth: int = 0) -> str:
+    """Return the line and column of a setting's `nth` occurrence outside comments, counted from 0."""
     bare = re.sub(r";[^\n]*", lambda m: " " * len(m[0]), text)
     found = list(re.finditer(rf"\(\s*({re.escape(name)})(?=[\s()])", bare))
     at = found[nth].start(1) if nth < len(found) else 0
@@ -128,11 +134,12 @@
     return f"line {line}, column {at - text.rfind(chr(10), 0, at)}"
 
 
-LEAST_TOKEN = 16
+MIN_TOKEN_LENGTH = 16
+"""The least length of the operators' bearer token, in characters."""
 
 
 def load_token(operator_settings: OperatorSettings) -> str | None:
-    """The operators' bearer token; raises `SettingsError` with one line.  None: their paths are off."""
+    """Return the operators' bearer token, or None if no file is set; raises `SettingsError` with one line."""
     if operator_settings.token_file is None:
         return None
     try:
@@ -141,20 +148,20 @@
         raise SettingsError(f"operators-token: {operator_settings.token_file}: {error.strerror or error}") from None
     except UnicodeDecodeError:
         raise SettingsError(f"operators-token: {operator_settings.token_file}: not ASCII text") from None
-    if len(token) < LEAST_TOKEN or len(token.split()) != 1:
+    if len(token) < MIN_TOKEN_LENGTH or len(token.split()) != 1:
         raise SettingsError(
-            f"operators-token: {operator_settings.token_file}: expected one word of at least {LEAST_TOKEN} signs"
+            f"operators-token: {operator_settings.token_file}: expected one word, {MIN_TOKEN_LENGTH} characters or more"
         )
     return token
 
 
-def place_of(path: str, name: str) -> str:
-    """Line and column of a setting in the operators' file."""
-    return _place(Path(path).read_text(encoding="utf-8"), name)
+def position_of(path: str, name: str) -> str:
+    """Return the line and column of a setting in the operators' file."""
+    return _position(Path(path).read_text(encoding="utf-8"), name)
 
 
 def load_operator_settings(path: str | None) -> OperatorSettings:
-    """Read and check the operators' file; raises `SettingsError` with one line."""
+    """Read and check the operators' file (None: all defaults); raises `SettingsError` with one line."""
     if path is None:
         return OperatorSettings()
     file = Path(path)
@@ -166,7 +173,7 @@
         raise SettingsError(f"{file}: not UTF-8 text") from None
     try:
         tree = sexpdata.loads(text)
-    except Exception as error:  # sexpdata raises several kinds
+    except Exception as error:  # sexpdata raises several types of exceptions
         reason = str(error).splitlines()[0] if str(error) else type(error).__name__
         raise SettingsError(f"{file}: not an S-expression: {reason}") from None
     if not isinstance(tree, list) or not tree or tree[0] != sexpdata.Symbol("ashtray"):
@@ -178,11 +185,11 @@
         name = str(entry[0])
         setting = SETTINGS.get(name)
         if setting is None:
-            raise SettingsError(f"{file}: {_place(text, name)}: unknown setting {name}")
+            raise SettingsError(f"{file}: {_position(text, name)}: unknown setting {name}")
         if setting.field in found:
-            raise SettingsError(f"{file}: {_place(text, name, 1)}: {name} is set twice")
+            raise SettingsError(f"{file}: {_position(text, name, 1)}: {name} is set twice")
         try:
             found[setting.field] = setting.read(entry[1:])
         except ValueError:
-            raise SettingsError(f"{file}: {_place(text, name)}: {name}: expected {setting.range}") from None
+            raise SettingsError(f"{file}: {_position(text, name)}: {name}: expected {setting.range}") from None
     return OperatorSettings(**found)
--- a/ashtray/config/settings.py
+++ b/ashtray/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over."""
+"""The settings file that the platform provides for each controller."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import msgspec
 
-Share = Annotated[float, msgspec.Meta(gt=0)]
-Amount = Annotated[float, msgspec.Meta(ge=0)]
+Positive = Annotated[float, msgspec.Meta(gt=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be used; the text names the file and the field."""
+    """A settings file that cannot be used; the message names the file and the field."""
 
 
 class Peer(msgspec.Struct, frozen=True):
@@ -32,17 +32,17 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guarantees and limits, in CPUs and GPUs; 0 means none."""
 
     name: str
-    cpus: Amount = 0.0
-    cpus_max: Amount = 0.0
-    gpus: Amount = 0.0
-    gpus_max: Amount = 0.0
+    cpus: NonNegative = 0.0
+    cpus_max: NonNegative = 0.0
+    gpus: NonNegative = 0.0
+    gpus_max: NonNegative = 0.0
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """An aim that the users state for a class of jobs: its kind, a time, and the share of jobs that is to meet it."""
+    """An objective of the users for a job class: its kind, a time, and the share of jobs that should meet it."""
 
     kind: str
     job_class: str | None = msgspec.field(default=None, name="class")
@@ -51,45 +51,45 @@
 
 
 class WorkerTimes(msgspec.Struct, frozen=True):
-    """The times of the workers' protocol, in seconds."""
+    """The intervals and time limits of the workers' protocol, in seconds."""
 
-    report_s: Share
-    lease_s: Share
-    gang_wait_s: Share
-    gang_peer_s: Share
-    cancel_s: Share
+    report_s: Positive
+    lease_s: Positive
+    gang_wait_s: Positive
+    gang_peer_s: Positive
+    cancel_s: Positive
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on, without notice."""
+    """Limits that the state service will change to at some moment, without notice."""
 
-    write_rps: Share
+    write_rps: Positive
     value_kb: Annotated[float, msgspec.Meta(ge=1)]
     txn_ops: Annotated[int, msgspec.Meta(ge=4)]
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """What the state service takes: requests and changes a second, a value's KiB, a transaction's operations."""
+    """Limits of the state service: requests and writes per second, KiB per value, operations per transaction."""
 
-    rps: Share
-    write_rps: Share
-    value_kb: Share
+    rps: Positive
+    write_rps: Positive
+    value_kb: Positive
     txn_ops: Annotated[int, msgspec.Meta(ge=4)]
     next: NextLimits | None = None
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """The cloud's requests a second, and by how many seconds its list may lag."""
+    """Limits of the cloud: requests per second, and by how many seconds its list of rentals may lag."""
 
-    rps: Share
-    list_lag_s: Amount
+    rps: Positive
+    list_lag_s: NonNegative
 
 
 class Quota(msgspec.Struct, frozen=True):
-    """What a controller's process may use: a share of the processor, memory in MiB, sockets."""
+    """What a controller process may use: a share of a processor core, memory in MiB, and sockets."""
 
-    cpu_share: Share = 1.0
-    ram_mb: Share = 1024.0
+    cpu_share: Positive = 1.0
+    ram_mb: Positive = 1024.0
     sockets: Annotated[int, msgspec.Meta(gt=0)] = 1024
 
 
@@ -101,7 +101,7 @@
     state: StateLimits
     cloud: CloudLimits
     nodes: int = 1
-    clock_off_ms: Amount = 1000.0
+    clock_off_ms: NonNegative = 1000.0
     teams: list[Team] = msgspec.field(default_factory=list)
     objectives: list[Objective] = msgspec.field(default_factory=list)
     quota: Quota = msgspec.field(default_factory=Quota)
@@ -119,17 +119,18 @@
     others: list[Peer] = msgspec.field(default_factory=list)
 
 
-WISE_MB, WISE_SHARE = 80.0, 0.15
-"""A controller has had up to 61 MB and 0.12 of a core on the mean, with 550 machines in simulated days."""
+RECOMMENDED_RAM_MB, RECOMMENDED_CPU_SHARE = 80.0, 0.15
+"""Quotas below these cause a warning: in simulated runs with 550 machines a controller used up to 61 MB, and 0.12 of
+a core on average."""
 
 
 def warnings(settings: Settings) -> list[str]:
-    """What can be used and is not wise, a line each."""
+    """Return a warning line for each setting that is valid but too low in practice."""
     quota, found = settings.cluster.quota, []
-    if quota.ram_mb < WISE_MB:
-        found.append(f"cluster.quota.ram_mb: {quota.ram_mb:g} is little: 550 machines took up to 61")
-    if quota.cpu_share < WISE_SHARE:
-        found.append(f"cluster.quota.cpu_share: {quota.cpu_share:g} is little: 550 machines took 0.12 on the mean")
+    if quota.ram_mb < RECOMMENDED_RAM_MB:
+        found.append(f"cluster.quota.ram_mb: {quota.ram_mb:g} is low: 550 machines took up to 61")
+    if quota.cpu_share < RECOMMENDED_CPU_SHARE:
+        found.append(f"cluster.quota.cpu_share: {quota.cpu_share:g} is low: 550 machines took 0.12 on average")
     return found
 
 
@@ -140,7 +141,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check the settings file; raises `SettingsError` with one line."""
+    """Read and check the platform's settings file; raises `SettingsError` with one line."""
     file = Path(path)
     try:
         raw = tomllib.loads(file.read_text(encoding="utf-8"))
--- a/ashtray/lab/__init__.py
+++ b/ashtray/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on ashtray's own parts, in virtual time.  An extra: `pip install .[lab]`."""
+"""Offline experiments with parts of ashtray, in virtual time.  Needs the extra: `pip install .[lab]`."""
--- a/ashtray/lab/replay.py
+++ b/ashtray/lab/replay.py
@@ -1,10 +1,10 @@
-"""Play traces to what learns run times, and judge it by the truth and by simpler ways.
+"""Replay traces to the run time estimator, and compare it with the true run times and with simpler estimators.
 
     python -m ashtray.lab.replay [--seeds 100] [--json] [--kind NAME ...] [--save DIR | --trace FILE]
 
-For each kind of trace: the error of the median after 5, 10, 30 and 100 completions (in the logarithm, against the
-best that could be known; 0.10 is 10%), and how many tasks end within the stated p90.  The median over seeds, and the
-worst in brackets.
+For each kind of trace it prints the error of the predicted median after 5, 10, 30 and 100 completions, and the share
+of tasks that end within the predicted p90.  The error is a difference of logarithms from the best possible
+prediction: 0.10 is about 10%.  Both are medians over the seeds, with the worst error in brackets.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from ashtray.lab.traces import Run
 
 CHECKPOINTS = (5, 10, 30, 100)
-"""After so many completed tasks a learner is judged, and once more some time after two thirds of a trace."""
+"""Learners are judged after these numbers of completed tasks, and once more 20 tasks after two thirds of a trace."""
 TASKS_AHEAD = 60
-"""So many tasks after each checkpoint are predicted and compared with what they took."""
+"""How many tasks after each checkpoint are predicted and compared with their run times."""
 TRACE_RUNS = 240
 """How many tasks a trace has."""
 TASKS_EACH = 20
-"""So many tasks each machine runs before it is said which are slow."""
+"""How many tasks each machine runs before slow machines are reported."""
 
 
 class Judgement(NamedTuple):
     """How good a learner's predictions were at a checkpoint."""
 
     error: float
-    """The mean distance of the medians from the best that could be known, in the natural logarithm."""
+    """The mean distance of the predicted medians from the best possible ones, in the natural logarithm."""
     within: float
     """The share of the tasks, 0 to 1, that ended within the predicted 90th percentile."""
 
@@ -63,7 +63,7 @@
 
 
 class Owner:
-    """The owner's estimate, as it stands."""
+    """Predicts the owner's estimate, unchanged."""
 
     def learn(self, run: Run) -> None:
         """Take in a run that has ended."""
@@ -74,7 +74,7 @@
 
 
 class Mean:
-    """A running mean of run times over estimates, for each class: what ashtray did before it learnt distributions."""
+    """Predicts from a running mean of run time over estimate for each class, as early versions of ashtray did."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, float] = {}
@@ -92,7 +92,7 @@
 
 
 class Last:
-    """The last run time of the class."""
+    """Predicts the last run time of the class."""
 
     def __init__(self) -> None:
         self._last: dict[str, float] = {}
@@ -108,7 +108,7 @@
 
 
 class Learnt:
-    """`ashtray.estimates`."""
+    """Predicts with `ashtray.estimates`, which controllers use."""
 
     def __init__(self) -> None:
         self.estimates = Estimates()
@@ -127,7 +127,7 @@
 
 
 def job_of(run: Run) -> Job:
-    """Return the job of one task that a run of a trace stands for."""
+    """Return a job for the estimator that has the class, owner's estimate and image of a run."""
     spec = JobSpec(
         run.job_class,
         run.team,
@@ -147,9 +147,9 @@
 
 
 def judge(runs: list[Run], learner: Learner) -> dict[int, Judgement]:
-    """Return, for each checkpoint that has tasks after it, how good the predictions of these were.
+    """Return, for each checkpoint that has tasks after it, how good the predictions of these tasks were.
 
-    The one large job of a trace is learnt from, but not judged by.
+    Learners also learn from the one large job of a trace, but its tasks are not predicted.
     """
     late = 2 * len(runs) // 3 + 20
     found = {}
@@ -163,7 +163,7 @@
 
 
 def judge_predictions(runs: list[Run], learner: Learner) -> Judgement:
-    """Compare what a learner predicts of some runs, at least one, with what they took."""
+    """Compare a learner's predictions for runs, at least one, with their run times."""
     errors, within = [], []
     for run in runs:
         median_s, p90_s = learner.predict(run)
@@ -173,7 +173,7 @@
 
 
 def accused(seeds: int, tasks: int) -> dict[str, float]:
-    """Return the shares of slow machines found, and of healthy ones accused, after so many tasks each."""
+    """Return the shares of slow machines found and of healthy machines called slow, after `tasks` tasks on each."""
     found = healthy = 0
     for seed in range(seeds):
         learner = Learnt()
@@ -185,7 +185,7 @@
 
 
 def table(kind: str, seeds: int, n: int = TRACE_RUNS) -> dict[str, dict[str, Summary]]:
-    """Return, by learner and checkpoint, the judgements of traces of `n` runs from so many seeds."""
+    """Return, by learner and checkpoint, the judgements over `seeds` traces of `n` runs each."""
     rows: dict[str, dict[str, Summary]] = {}
     for name, make_learner in LEARNERS.items():
         by_checkpoint: dict[int, list[Judgement]] = {}
@@ -207,7 +207,7 @@
 
 
 def judge_file(path: Path) -> dict[str, dict[str, Summary]]:
-    """Return the same for the one trace in a Parquet file."""
+    """Return, by learner and checkpoint, the judgements for the one trace in a Parquet file."""
     runs = traces.load(path)
     return {
         name: {str(checkpoint): summarize([found]) for checkpoint, found in judge(runs, make_learner()).items()}
@@ -216,7 +216,7 @@
 
 
 def judge_kinds(kinds: list[str], seeds: int) -> dict[str, Any]:
-    """Return a table for each kind of trace and, with slow machines among them, what `accused` finds."""
+    """Return a table for each kind of trace and, if `slow-machine` is among them, the result of `accused`."""
     found: dict[str, Any] = {}
     for kind in kinds:
         print(f"{kind} ...", file=sys.stderr)
@@ -227,14 +227,14 @@
 
 
 def save_kinds(kinds: list[str], folder: Path) -> None:
-    """Write the first trace of each kind as a Parquet file."""
+    """Write the trace of seed 0 of each kind as a Parquet file."""
     folder.mkdir(parents=True, exist_ok=True)
     for kind in kinds:
         traces.save(traces.make(kind, 0, TRACE_RUNS), folder / f"{kind}.parquet")
 
 
 def print_tables(found: dict[str, Any]) -> None:
-    """Print what `judge_kinds` or `judge_file` found, a row for each learner."""
+    """Print the results of `judge_kinds` or `judge_file`, one row for each learner."""
     for kind, rows in found.items():
         if kind == "machines":
             print(
@@ -252,7 +252,7 @@
 
 
 def parse_arguments(argv: list[str] | None) -> argparse.Namespace:
-    """Read the command line; ends the process with 2 if it cannot be used."""
+    """Parse the command line; exits with 2 if it cannot be used."""
     parser = argparse.ArgumentParser(
         prog="ashtray.lab.replay", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -260,12 +260,12 @@
     parser.add_argument("--kind", nargs="*", choices=sorted(traces.KINDS), help="kinds of traces (default: all)")
     parser.add_argument("--json", action="store_true", help="print JSON")
     parser.add_argument("--save", type=Path, metavar="DIR", help="write each kind's first trace there as Parquet")
-    parser.add_argument("--trace", type=Path, metavar="FILE", help="judge by a trace from a Parquet file")
+    parser.add_argument("--trace", type=Path, metavar="FILE", help="replay the trace in this Parquet file instead")
     return parser.parse_args(argv)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Replay traces to all learners and print how far off they were; the exit code."""
+    """Replay traces to all learners and print their errors; returns the exit code."""
     args = parse_arguments(argv)
     kinds = args.kind or sorted(traces.KINDS)
     if args.save is not None:
--- a/ashtray/lab/traces.py
+++ b/ashtray/lab/traces.py
@@ -1,7 +1,7 @@
-"""Traces of jobs with known truth, from one seed, and as columnar files.
+"""Generates traces of jobs whose true run time distributions are known, and stores them as columnar files.
 
-Each kind is a distribution of what tasks really take, and of what their owners say.  The truth is kept beside, so
-that an estimate can be judged by the best that could be known.
+Each kind of trace has a distribution of run times and one of owners' estimates.  A trace also holds the best possible
+predictions, so that an estimator can be judged by them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One task that ran to its end, with what its owner expected; times are in seconds."""
+    """One task that ran to its end, with its owner's estimate (`expect_s`); times are in seconds."""
 
     job: str
     job_class: str
@@ -25,17 +25,17 @@
     expect_s: float
     run_s: float
     best_s: float
-    """The median of the true distribution, given what the owner said."""
+    """The median of the true distribution, given the owner's estimate."""
     best_p90_s: float
-    """Its 90th percentile."""
+    """The 90th percentile of the same distribution."""
 
 
 SIGMA, ERROR = 0.42, 0.4
-"""Spread of run times and of owners' estimates, as logarithms: 95% of tasks run less than twice the median."""
+"""Spread of run times and of owners' errors, as logarithms: 95% of tasks take less than twice the median."""
 Z90 = 1.2816
 """The 90th percentile of the standard normal distribution."""
 LARGE = "job-large"
-"""The job that would drown all others; what it takes is no measure of what they take."""
+"""The job with most of a trace's tasks; its run times say nothing about those of other jobs."""
 
 
 def _run(
@@ -52,8 +52,8 @@
 ) -> Run:
     """Draw a task of a class whose run times are log-normal with this median in seconds and spread `sigma`.
 
-    Its owner's estimate is off by the factor `bias` and by a spread of `error`; None: the owner says the same
-    whatever the task.  `factor` is how much longer the machine takes.
+    Its owner's estimate is off by the factor `bias` and by a random factor with the spread `error`; None: the owner
+    gives the same estimate for all tasks.  The machine takes `factor` times as long as others.
     """
     run = median * math.exp(rng.gauss(0.0, sigma))
     if error is None:
@@ -68,22 +68,22 @@
 
 
 def steady(rng: random.Random, n: int) -> Iterator[Run]:
-    """Owners err by some half either way."""
+    """Owners' estimates are off by about half in either direction."""
     return (_run(rng, k, 100.0, SIGMA, 1.0, ERROR) for k in range(n))
 
 
 def biased(rng: random.Random, n: int) -> Iterator[Run]:
-    """All estimates of the day are too low by the same factor."""
+    """All estimates are too low by the same factor."""
     return (_run(rng, k, 100.0, SIGMA, 0.5, ERROR) for k in range(n))
 
 
 def blind(rng: random.Random, n: int) -> Iterator[Run]:
-    """Owners always say the same, and too much."""
+    """Owners always give the same estimate, which is too high."""
     return (_run(rng, k, 100.0, SIGMA, 1.6, None) for k in range(n))
 
 
 def shifted(rng: random.Random, n: int) -> Iterator[Run]:
-    """After two thirds all tasks take three times as long, and owners do not know."""
+    """After two thirds of the trace tasks take three times as long, while the estimates stay the same."""
     return (
         _run(rng, k, 100.0 if k < 2 * n // 3 else 300.0, 0.3, 1.0 if k < 2 * n // 3 else 1 / 3, None)
         for k in range(n)
@@ -91,21 +91,21 @@
 
 
 def two_kinds(rng: random.Random, n: int) -> Iterator[Run]:
-    """Two kinds of job under one name, ten times apart; owners know which."""
+    """Two kinds of jobs in one class, whose run times differ by ten times; owners know the kind."""
     for k in range(n):
         short = rng.random() < 0.5
         yield _run(rng, k, 30.0 if short else 300.0, 0.3, 1.0, None)
 
 
 def two_kinds_blind(rng: random.Random, n: int) -> Iterator[Run]:
-    """The same, and owners do not know: no median is right, but the p90 can be."""
+    """As `two_kinds`, but owners do not know the kind: no median can be right, but the p90 can be."""
     for k in range(n):
         run = _run(rng, k, 30.0 if rng.random() < 0.5 else 300.0, 0.3, 1.0, None)
         yield replace(run, expect_s=95.0, best_s=95.0, best_p90_s=390.0)
 
 
 def one_drowns(rng: random.Random, n: int) -> Iterator[Run]:
-    """Nine tasks of ten belong to one job that is four times as short as the rest."""
+    """Nine of ten tasks belong to one job, and run for a quarter of the time of the others."""
     for k in range(n):
         if rng.random() < 0.9:
             yield _run(rng, k, 25.0, 0.2, 4.0, None, job=LARGE)
@@ -114,7 +114,7 @@
 
 
 def slow_machine(rng: random.Random, n: int) -> Iterator[Run]:
-    """One machine of twenty takes one and a half times as long; the others differ by up to a tenth."""
+    """One machine of twenty takes 1.5 times as long; the speeds of the others differ by up to a tenth."""
     speeds = {f"m{k}": rng.uniform(0.95, 1.05) for k in range(19)} | {"slow": 1.5}
     names = list(speeds)
     for k in range(n):
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start one controller: ``python3 run.py --config FILE`` is ``ashtray run --config FILE``."""
+"""Start one controller: ``python3 run.py --config FILE`` does the same as ``ashtray run --config FILE``."""
 
 import importlib
 import sys
@@ -8,8 +8,8 @@
 sys.dont_write_bytecode = True
 sys.path.insert(0, str(_TARGET / "deps"))
 
-# Libraries have their compiled files beside them.  Imported after the prefix below is set, they would be looked for
-# under it and compiled anew at each start, which took two thirds of the time of one.
+# The bytecode of libraries lies beside their sources.  If they were imported after the prefix below is set, Python
+# would look for their bytecode under it and compile them at each start, which took two thirds of the start-up time.
 for _name in (
     "argparse",
     "dataclasses",
@@ -25,7 +25,7 @@
 ):
     importlib.import_module(_name)
 
-# The controllers' disk is read-only: bytecode is compiled by the build step and only read here.
+# The controllers' disk is read-only: the build step writes the bytecode of ashtray, and it is only read here.
 sys.pycache_prefix = str(_TARGET / "pycache")
 
 from ashtray.cli import main  # noqa: E402
