--- a/tests/test_meeting_days.py
+++ b/tests/test_meeting_days.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from tools.meetings.catalogue import FIRST, MEETINGS, Meeting
-from tools.meetings.day import Day, drawn, make_day
+from tools.meetings.day import Day, draw_meetings, make_day
 from tools.meetings.draw import Draw
 from tools.meetings.faults import Fault, JobsChange, MachineDeaf, toml_value
 from tools.meetings.site import Site, SiteError, any_site, read_site, site_of
@@ -173,7 +173,7 @@
     day = make_day(seed, site)
     assert day.meetings[0] in FIRST and 2 <= len(set(day.meetings)) == len(day.meetings) <= 3
     for together in day.rounds:
-        assert {played.meeting.name for played in together} == {meeting.name for meeting in day.meetings}
+        assert {scheduled.meeting.name for scheduled in together} == {meeting.name for meeting in day.meetings}
         for earlier, later in zip(together, together[1:], strict=False):
             # The later meeting begins inside the earlier one.
             assert earlier.begin_s() <= later.begin_s() < earlier.end_s()
@@ -264,7 +264,7 @@
     both = {"ends_far_apart", "one_task_jobs"}
     chosen: list[Day] = []
     for seed in range(5000):
-        if both <= {meeting.name for meeting in drawn(Draw(seed))}:
+        if both <= {meeting.name for meeting in draw_meetings(Draw(seed))}:
             chosen.append(make_day(seed, site))
     assert chosen
     for day in chosen:
@@ -390,7 +390,7 @@
 
 def test_a_fault_of_machines_needs_one_choice() -> None:
     for options in ({}, {"count": 3, "share": 0.1}):
-        with pytest.raises(ValueError, match="one of them only"):
+        with pytest.raises(ValueError, match="exactly one of them"):
             MachineDeaf(at_s=1.0, for_s=2.0, **options)
     with pytest.raises(TypeError, match="set"):
         toml_value({1})
--- a/tools/meetings/faults.py
+++ b/tools/meetings/faults.py
@@ -11,7 +11,7 @@
 
 
 class Mode(StrEnum):
-    """What becomes of packets on a cut link."""
+    """What happens to packets on a cut link."""
 
     HOLD = "hold"
     REFUSE = "refuse"
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One trouble of a day, from a moment on."""
+    """One fault of a day, which begins at `at_s`."""
 
     KIND: ClassVar[str]
     at_s: float
 
     def options(self) -> dict[str, Value]:
-        """The options that are set, in the order of their declaration."""
+        """Return the options that are set, in the order of their declaration."""
         options: dict[str, Value] = {}
         for each in fields(self):
             value = getattr(self, each.name)
@@ -36,17 +36,17 @@
         return options
 
     def end_s(self) -> float:
-        """When the trouble is over, as far as the fault says so."""
+        """Return when the fault is over; a fault without `for_s` has no duration."""
         return self.at_s + float(getattr(self, "for_s", 0.0))
 
     def text(self) -> str:
-        """The fault as an inline table of TOML."""
+        """Return the fault as an inline table of TOML."""
         return toml_table({"at_s": self.at_s, "kind": self.KIND, **self.options()})
 
 
 @dataclass(frozen=True, kw_only=True)
 class NodeCrash(Fault):
-    """Controllers end and are started again; `busiest`: those that do the most work, the leader first."""
+    """Controllers crash and are started again; `busiest` chooses those with the most work, the leader first."""
 
     KIND = "node_crash"
     count: int = 1
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeFreeze(Fault):
-    """Controllers stand still while their clocks run on."""
+    """Controller processes are paused while their clocks continue."""
 
     KIND = "node_freeze"
     count: int = 1
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeCut(Fault):
-    """Controllers lose the named links."""
+    """Controllers lose their links to the state service, to peers or to workers."""
 
     KIND = "node_cut"
     count: int = 1
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StateOutage(Fault):
-    """The state service answers nobody."""
+    """The state service answers no request."""
 
     KIND = "state_outage"
     for_s: float
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StateSlow(Fault):
-    """The state service answers later by a factor."""
+    """The answers of the state service take longer by a factor."""
 
     KIND = "state_slow"
     factor: float
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LateWrites(Fault):
-    """A share of the transactions gets no answer; carried out later, or at once with `at_once`."""
+    """A share of the transactions gets no answer; they are applied later, or at once with `at_once`."""
 
     KIND = "late_writes"
     share: float
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LateReports(Fault):
-    """Of a share of the workers' reports a copy arrives again, later or at the next leader (`for_next`)."""
+    """Copies of a share of the workers' reports arrive again later, with `for_next` at the next leader."""
 
     KIND = "late_reports"
     share: float
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LateCommands(Fault):
-    """A share of the direct commands is held up on its way."""
+    """A share of the direct commands is delayed."""
 
     KIND = "late_commands"
     share: float
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MachineGroup(Fault):
-    """A fault of some machines: a count, a share of all, or those of a zone."""
+    """A fault of machines, given by a count, a share of all machines, or a zone."""
 
     count: int | None = None
     share: float | None = None
@@ -143,19 +143,19 @@
     def __post_init__(self) -> None:
         """Raise ValueError unless exactly one of the three is set."""
         if sum(each is not None for each in (self.count, self.share, self.zone)) != 1:
-            raise ValueError(f"{self.KIND} needs a count, a share or a zone, and one of them only")
+            raise ValueError(f"{self.KIND} needs a count, a share or a zone: exactly one of them")
 
 
 @dataclass(frozen=True, kw_only=True)
 class MachineDeaf(MachineGroup):
-    """Machines whose reports arrive, while answers and direct commands to them are lost."""
+    """Machines whose reports arrive, but answers and direct commands to them are lost."""
 
     KIND = "machine_deaf"
 
 
 @dataclass(frozen=True, kw_only=True)
 class MachineMute(MachineGroup):
-    """Machines that reach no controller, while direct commands reach them."""
+    """Machines that cannot reach any controller, but direct commands reach them."""
 
     KIND = "machine_mute"
 
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MachineHang(Fault):
-    """Machines stand still and go on later."""
+    """Machines are paused and continue later."""
 
     KIND = "machine_hang"
     count: int
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MachineDie(Fault):
-    """Machines stop with all that is on them."""
+    """Machines stop, and all tasks on them are lost."""
 
     KIND = "machine_die"
     count: int
@@ -189,7 +189,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SpotTaken(Fault):
-    """A share of the cheap machines is taken back in a wave."""
+    """The cloud takes a share of the spot machines back within `over_s`, each after `notice_s`."""
 
     KIND = "spot_taken"
     share: float
@@ -199,7 +199,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BootTrouble(Fault):
-    """New machines fail to boot with a probability, and boot in their usual time multiplied by a factor."""
+    """New machines fail to boot with the probability `fail`; the others take `factor` times as long as usual."""
 
     KIND = "boot_trouble"
     fail: float
@@ -209,7 +209,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JobBurst(Fault):
-    """Jobs of a class come several times as often."""
+    """Jobs of a class arrive `factor` times as often."""
 
     KIND = "job_burst"
     class_: str
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CancelNow(Fault):
-    """Users cancel many running jobs at once; with `hang_s` up to eight of their machines hang that long."""
+    """Users cancel many running jobs at once; with `hang_s` up to eight of their machines hang for that time."""
 
     KIND = "cancel_now"
     count: int
@@ -228,7 +228,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CancelAtEnd(Fault):
-    """A share of the jobs is cancelled at the moment of its end."""
+    """A share of the jobs is cancelled at the moment at which the job ends."""
 
     KIND = "cancel_at_end"
     share: float
@@ -237,7 +237,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OddRequests(Fault):
-    """Users repeat submissions, cancel what is done, and send jobs that fit no machine or lack a field."""
+    """Users repeat submissions, cancel jobs that are done, and submit jobs that fit no machine or lack a field."""
 
     KIND = "odd_requests"
     for_s: float
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CloseLooks(Fault):
-    """Users ask at all controllers within milliseconds after an acceptance, an end or a cancellation."""
+    """Users poll all controllers within milliseconds after an acceptance, an end or a cancellation."""
 
     KIND = "close_looks"
     for_s: float
@@ -253,18 +253,18 @@
 
 @dataclass(frozen=True)
 class JobsChange:
-    """What a day changes of a class of jobs; what is not named stays as in the site file."""
+    """Options of a job class that a day changes; the other options stay as in the site file."""
 
     name: str
     options: tuple[tuple[str, Value | dict[str, float | list[float]]], ...]
 
     def text(self) -> str:
-        """The change as an inline table of TOML."""
+        """Return the change as an inline table of TOML."""
         return toml_table({"name": self.name, **dict(self.options)})
 
 
 def toml_value(value: object) -> str:
-    """A value as TOML writes it.  Raises TypeError for one that no day holds."""
+    """Return a value in TOML syntax.  Raises TypeError for a type that a day cannot contain."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, int | float):
@@ -275,9 +275,9 @@
         return toml_table(value)
     if isinstance(value, list | tuple):
         return f"[{', '.join(map(toml_value, value))}]"
-    raise TypeError(f"a day holds no {type(value).__name__}")
+    raise TypeError(f"a day cannot contain a {type(value).__name__}")
 
 
 def toml_table(table: dict[str, object]) -> str:
-    """An inline table."""
+    """Return an inline table in TOML syntax."""
     return f"{{ {', '.join(f'{key} = {toml_value(value)}' for key, value in table.items())} }}"
--- a/tools/meetings/site.py
+++ b/tools/meetings/site.py
@@ -1,4 +1,4 @@
-"""What a meeting has to know of the site that it is played on."""
+"""The properties of a site on which the faults of a meeting depend."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from typing import Any
 
 PRIORITIES = ("prod", "high", "urgent", "normal", "standard", "low", "idle")
-"""The most urgent first."""
+"""The priorities of job classes, the most urgent first."""
 
 
 class SiteError(ValueError):
-    """A site file that cannot be used; the text says why, in one line."""
+    """A site file that cannot be used; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True)
 class Site:
-    """A deployment, as far as meetings depend on it.  The values are for a day whose site is not known."""
+    """A deployment, as far as meetings depend on it.  The defaults are for a day that is not for a given site."""
 
     name: str = "any site"
     duration_s: float = 380.0
@@ -27,28 +27,28 @@
     lease_s: float = 20.0
     cancel_s: float = 45.0
     machines: int = 100
-    """With the size that the day is made for."""
+    """The number of machines, multiplied by the size that the day is drawn for."""
     boot_s: float = 30.0
-    """Of the slowest machine type."""
+    """The boot time of the slowest machine type."""
     zones: tuple[str, ...] = ()
     urgent_class: str | None = None
     idle_class: str | None = None
     """The most and the least urgent class of jobs."""
-    idle_in_sizes: bool = False
-    """Whether the site file lists the sizes of the least urgent class, and gives no distribution of its tasks."""
+    idle_lists_sizes: bool = False
+    """Whether the site file lists the job sizes of the least urgent class, instead of a distribution."""
 
-    def part(self, share: float) -> int:
-        """A share of the machines; one at least."""
+    def machine_count(self, share: float) -> int:
+        """Return the number of machines in a share of them, at least one."""
         return max(round(share * self.machines), 1)
 
 
 def any_site(size: float) -> Site:
-    """A site of which nothing is known, so many times its size."""
+    """Return a site with the default values, with its machines multiplied by `size`."""
     return Site(machines=max(round(Site.machines * size), 1))
 
 
 def read_site(path: Path, size: float) -> Site:
-    """Read a site file, for a deployment of so many times its size.  Raises SiteError."""
+    """Read a site file, with its machines multiplied by `size`.  Raises SiteError."""
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -65,10 +65,10 @@
 
 
 def site_of(data: dict[str, Any], size: float) -> Site:
-    """A site from its parsed file.  Raises KeyError, TypeError, ValueError or AttributeError where it is no site."""
+    """Return a site from its parsed file.  Raises KeyError, TypeError, ValueError or AttributeError for bad data."""
     jobs = sorted(data["jobs"], key=lambda job: (PRIORITIES.index(job["priority"]), float(job.get("gpus", 0.0))))
     if not jobs or not data["capacity"] or not data["machine_types"] or not data["nodes"]["zones"]:
-        raise ValueError("jobs, capacity, machine_types and zones need an entry each")
+        raise ValueError("jobs, capacity, machine_types and zones need at least one entry each")
     machines = sum(int(kind["count"]) for kind in data["capacity"])
     zones = {str(kind["zone"]) for kind in data["capacity"]}
     site = Site(
@@ -83,9 +83,9 @@
         zones=tuple(sorted(zones)),
         urgent_class=str(jobs[0]["name"]),
         idle_class=str(jobs[-1]["name"]),
-        idle_in_sizes="sizes" in jobs[-1]["tasks"],
+        idle_lists_sizes="sizes" in jobs[-1]["tasks"],
     )
     times_s = (site.duration_s, site.warmup_s, site.lease_s, site.cancel_s, site.boot_s)
     if site.nodes < 1 or not all(math.isfinite(each) and each > 0.0 for each in times_s):
-        raise ValueError("counts of controllers and times are positive numbers")
+        raise ValueError("the number of controllers and all times must be positive and finite")
     return site
