--- a/tools/meetings/catalogue.py
+++ b/tools/meetings/catalogue.py
@@ -210,7 +210,7 @@
 
 
 def cancelled_at_the_refusal(draw: Draw, site: Site, at_s: float) -> Iterator[Step]:
-    """Jobs are cancelled while the leader alone is refused; a second later the state service fails beyond cancel_s."""
+    """Jobs are cancelled as only the leader is refused; a second later the state service is down beyond cancel_s."""
     yield NodeCut(at_s=at_s, from_state=True, mode=Mode.REFUSE, for_s=draw.between(10.0, 16.0))
     yield cancellations(draw, time_after(at_s, draw.between(0.0, 0.3)))
     yield StateOutage(
