--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The real daemon on loopback, against this repository's stand-ins, used through the command line."""
+"""The real daemon on loopback with simulated services of this repository, used through the command line."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from tests.test_formats import SUBMISSION
 
 ROOT = Path(__file__).resolve().parent.parent
-# They take ports that they do not hold while they start.
+# The tests choose free ports and open them only later, so two tests at a time could choose the same ports.
 pytestmark = pytest.mark.xdist_group("sockets")
 
 
@@ -45,19 +45,19 @@
     token, operators = directory / "token", directory / "operators.sexp"
     token.write_text("a-token-of-the-operators\n")
     operators.write_text(f'(ashtray (operators-token "{token}"))')
-    # The second controller has no such file: its operators' paths are off.
-    more = [["--operators", str(operators)], []]
+    # The second controller has no operators' file, so its operators' paths are disabled.
+    extra_args = [["--operators", str(operators)], []]
     controllers = [
         await asyncio.create_subprocess_exec(
             sys.executable, "run.py", "--config", str(file), *args, cwd=ROOT, stderr=-3
         )
-        for file, args in zip(stage.write_settings(), more, strict=True)
+        for file, args in zip(stage.write_settings(), extra_args, strict=True)
     ]
     server = ["--server", f"127.0.0.1:{stage.apis[0]}"]
     job = directory / "job.json"
     try:
-        over = {"pieces": 3, "cpus": 1.0, "cards": 0.0, "memory_gb": 1.0, "hulls": None, "crew": "crew"}
-        job.write_text(json.dumps({**SUBMISSION, **over}))
+        overrides = {"pieces": 3, "cpus": 1.0, "cards": 0.0, "memory_gb": 1.0, "hulls": None, "crew": "crew"}
+        job.write_text(json.dumps({**SUBMISSION, **overrides}))
         code, out, err = await cli("submit", *server, str(job))
         assert (code, "job-1: pending" in out) == (0, True), err
         for _ in range(60):
@@ -70,27 +70,27 @@
             raise AssertionError(out)
         code, out, err = await cli("submit", *server, str(job))
         assert "job-1: done" in out
-        job.write_text(json.dumps({**SUBMISSION, **over, "name_id": "job-2", "cpus": 99.0}))
+        job.write_text(json.dumps({**SUBMISSION, **overrides, "name_id": "job-2", "cpus": 99.0}))
         code, _, err = await cli("submit", *server, str(job))
         assert (code, "422" in err) == (1, True)
-        job.write_text(json.dumps({**SUBMISSION, **over, "name_id": "job-3", "shape": "service"}))
+        job.write_text(json.dumps({**SUBMISSION, **overrides, "name_id": "job-3", "shape": "service"}))
         assert (await cli("submit", *server, str(job)))[0] == 0
         code, out, _ = await cli("explain", *server, "job-3")
         assert (code, "job-3: 3 tasks" in out) == (0, True)
-        job.write_text(json.dumps({**SUBMISSION, **over, "name_id": "job-4"}))
+        job.write_text(json.dumps({**SUBMISSION, **overrides, "name_id": "job-4"}))
         code, out, _ = await cli("submit", *server, "--waits-on", "job-3", "--waits-on", "job-1", str(job))
         assert (code, "job-4: pending" in out) == (0, True)
         code, out, _ = await cli("status", *server, "job-4")
         assert "waits on job-3" in out
         code, out, _ = await cli("explain", *server, "job-4")
         assert "waits: job-3 is to be done first" in out
-        # A job that is known gets its state, whatever it names now.
+        # A repeated submission of a known job returns its state, even if it names other predecessors.
         code, _, err = await cli("submit", *server, "--waits-on", "job-77", str(job))
         assert (code, err) == (0, "")
-        job.write_text(json.dumps({**SUBMISSION, **over, "name_id": "job-5"}))
+        job.write_text(json.dumps({**SUBMISSION, **overrides, "name_id": "job-5"}))
         code, _, err = await cli("submit", *server, "--waits-on", "job-77", str(job))
         assert (code, "job-77 was never accepted" in err) == (1, True)
-        # The other controller knows what the first one took.
+        # The other controller knows the job that the first one accepted.
         other = ["--server", f"127.0.0.1:{stage.apis[1]}"]
         code, out, _ = await cli("abort", *other, "job-3")
         assert (code, out.strip()) == (0, "job-3: cancelled")
@@ -114,7 +114,7 @@
         assert await raw(port, "POST /hello", msgspec.msgpack.encode({"berth": 1})) == 400
         assert await raw(port, "GET /submissions/job-x") == 400
         assert await raw(port, "GET /up") == 200
-        # Told to end, the first one hands over and leaves; the other one goes on.
+        # The first controller hands over and ends on SIGTERM; the other one keeps answering.
         controllers[0].terminate()
         assert await asyncio.wait_for(controllers[0].wait(), 10) == 0
         assert not any(key.endswith("controller/berth-0") for key in stage.state.keys)
@@ -127,11 +127,11 @@
         await stage.stop()
 
 
-def test_a_user_is_served_on_loopback(tmp_path: Path):
+def test_daemon_serves_users_and_operators_on_loopback(tmp_path: Path):
     asyncio.run(play(tmp_path))
 
 
-def test_settings_that_cannot_be_used_end_with_one_line(tmp_path: Path):
+def test_unusable_settings_are_reported_in_one_line(tmp_path: Path):
     async def check() -> None:
         bad = tmp_path / "bad.toml"
         bad.write_text("host_name = 1\n")
@@ -143,7 +143,7 @@
     asyncio.run(check())
 
 
-def test_no_controller_answers():
+def test_unreachable_controller_gives_exit_code_3():
     code, _, err = asyncio.run(cli("status", "--server", "127.0.0.1:1", "--timeout", "0.1", "job-1"))
     assert code == 3
     assert "no answer" in err
--- a/tests/test_meeting_days.py
+++ b/tests/test_meeting_days.py
@@ -1,6 +1,6 @@
-"""Days drawn for the bench: meetings of troubles fall together, every one with others, and a seed tells one day.
+"""Days drawn for the bench: meetings overlap, all of them are drawn in combinations, and a seed gives the same day.
 
-Covers `tools/meeting_days.py`, `tools/meetings/`, and which of the new troubles the days in `tools/days/` hold.
+Covers `tools/meeting_days.py`, `tools/meetings/`, and which kinds of faults the days in `tools/days/` have.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 teams = ["reader-app"]
 """
 MACHINE_OPTIONS = ("count", "share", "zone")
-KNOWN = {  # the kinds of faults of the bench's pages and site files, with the options that each needs
+REQUIRED = {  # the kinds of faults that the bench knows, with the options that each kind needs
     "node_crash": {"count", "busiest"},
     "node_freeze": {"count", "busiest", "for_s"},
     "node_roll": {"every_s"},
@@ -91,7 +91,7 @@
     "odd_requests": {"for_s"},
     "close_looks": {"for_s"},
 }
-MAY = {
+OPTIONAL = {
     "node_cut": {"from_state", "from_peers", "from_workers"},
     "late_writes": {"at_once"},
     "late_reports": {"for_next"},
@@ -99,9 +99,9 @@
     "machine_mute": set(MACHINE_OPTIONS),
     "cancel_now": {"hang_s"},
 }
-NEW: dict[
+NEWER_KINDS: dict[
     str, Callable[[dict[str, Any]], bool]
-] = {  # every trouble that the page of the hunts adds, with its options
+] = {  # each newer kind of fault, by variant, with a check for the variant
     "late_writes": lambda fault: not fault.get("at_once"),
     "late_writes at once": lambda fault: fault["kind"] == "late_writes" and fault.get("at_once") is True,
     "late_reports": lambda fault: not fault.get("for_next"),
@@ -141,18 +141,20 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def of_the_new(fault: dict[str, Any]) -> set[str]:
-    """Which of the new troubles a fault of a day's file is."""
-    return {name for name, holds in NEW.items() if name.split()[0] == fault["kind"] and holds(fault)}
+def newer_kinds_of(fault: dict[str, Any]) -> set[str]:
+    """Return the newer kinds and variants, of `NEWER_KINDS`, that match a fault of a day's file."""
+    return {name for name, holds in NEWER_KINDS.items() if name.split()[0] == fault["kind"] and holds(fault)}
 
 
 def check_valid(day: dict[str, Any], site: Site) -> None:
-    """Every fault is one that the bench knows, with what it needs and no more, at a time of the day."""
+    """Assert that each fault is known to the bench, has the options that it needs and no others, and fits the day."""
     times = [fault["at_s"] for fault in day["faults"]]
     assert times == sorted(times) and times[0] > site.warmup_s
     for fault in day["faults"]:
         options = fault.keys() - {"at_s", "kind"}
-        assert KNOWN[fault["kind"]] <= options <= KNOWN[fault["kind"]] | MAY.get(fault["kind"], set()), fault
+        assert REQUIRED[fault["kind"]] <= options <= REQUIRED[fault["kind"]] | OPTIONAL.get(fault["kind"], set()), (
+            fault
+        )
         assert fault["at_s"] + fault.get("for_s", 0.0) < day["duration_s"]
         assert all(0.0 <= fault[key] <= 1.0 for key in ("share", "fail") if key in fault)
         assert all(fault[key] >= 1 and isinstance(fault[key], int) for key in ("count",) if key in fault)
@@ -185,14 +187,14 @@
     check_valid(data, site)
 
 
-def test_all_meetings_and_all_new_troubles_are_drawn() -> None:
+def test_all_meetings_and_all_kinds_of_faults_are_drawn() -> None:
     site = site_of_this_file()
     days = [make_day(seed, site) for seed in SEEDS]
     assert {meeting.name for day in days for meeting in day.meetings} == {meeting.name for meeting in MEETINGS}
     faults = [fault for day in days for fault in tomllib.loads(day.text())["faults"]]
-    assert set().union(*map(of_the_new, faults)) == set(NEW)
-    assert {fault["kind"] for fault in faults} == set(KNOWN)
-    # Each of the first four meets each of the others, and every order of a pair is drawn.
+    assert set().union(*map(newer_kinds_of, faults)) == set(NEWER_KINDS)
+    assert {fault["kind"] for fault in faults} == set(REQUIRED)
+    # Each of the four first meetings is drawn with nearly all others, and both orders of a pair occur.
     pairs = {(day.meetings[0].name, other.name) for day in days for other in day.meetings[1:]}
     assert len(pairs) > 0.9 * len(FIRST) * (len(MEETINGS) - 1)
     starts = {together[0].meeting is day.meetings[0] for day in days for together in day.rounds}
@@ -205,7 +207,7 @@
 
 
 @pytest.mark.parametrize("meeting", MEETINGS, ids=lambda meeting: meeting.name)
-def test_a_meeting_begins_when_it_is_told_to(meeting: Meeting) -> None:
+def test_a_meeting_begins_soon_after_its_given_time(meeting: Meeting) -> None:
     for seed in range(30):
         for site in (site_of_this_file(), any_site(1.0)):
             faults = [step for step in steps_of(meeting, seed, site) if isinstance(step, Fault)]
@@ -214,16 +216,16 @@
     assert meeting.sentence.endswith(".") and "\n" not in meeting.sentence
 
 
-def named(name: str) -> Meeting:
+def meeting_named(name: str) -> Meeting:
     return next(meeting for meeting in MEETINGS if meeting.name == name)
 
 
 def faults_of(name: str, seed: int) -> list[Fault]:
-    return [step for step in steps_of(named(name), seed, site_of_this_file()) if isinstance(step, Fault)]
+    return [step for step in steps_of(meeting_named(name), seed, site_of_this_file()) if isinstance(step, Fault)]
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_ten_changes_of_leader_come_within_two_minutes(seed: int) -> None:
+def test_ten_changes_of_leader_happen_within_two_minutes(seed: int) -> None:
     crashes = [fault for fault in faults_of("ten_changes", seed) if fault.KIND == "node_crash"]
     assert len(crashes) == 10 and crashes[-1].at_s - crashes[0].at_s <= 120.0
     assert all(fault.options() == {"count": 1, "busiest": True} for fault in crashes)
@@ -245,7 +247,7 @@
 
 @pytest.mark.parametrize("name", ["all_away", "zone_cut"])
 @pytest.mark.parametrize("seed", range(30))
-def test_what_is_to_outlast_a_lease_does(name: str, seed: int) -> None:
+def test_faults_that_must_outlast_a_lease_do_so(name: str, seed: int) -> None:
     site = site_of_this_file()
     lasting = [fault for fault in faults_of(name, seed) if fault.end_s() > fault.at_s]
     assert lasting and all(fault.end_s() - fault.at_s > site.lease_s for fault in lasting)
@@ -253,13 +255,13 @@
         assert lasting[0].options()["count"] == site.nodes
 
 
-def test_new_machines_are_up_within_two_seconds() -> None:
+def test_new_machines_boot_within_two_seconds() -> None:
     boots = next(fault for fault in faults_of("quick_boots", 1) if fault.KIND == "boot_trouble")
     factor = boots.options()["factor"]
     assert isinstance(factor, float) and factor * site_of_this_file().boot_s <= 2.0
 
 
-def test_the_first_of_two_changes_of_a_class_holds() -> None:
+def test_the_first_of_two_changes_of_a_class_is_kept() -> None:
     site = site_of_this_file()
     both = {"ends_far_apart", "one_task_jobs"}
     chosen: list[Day] = []
@@ -274,14 +276,16 @@
 
 @pytest.mark.parametrize("name", ["ends_far_apart", "one_task_jobs"])
 @pytest.mark.parametrize("tasks", ["{ median = 30.0, p95 = 90.0, max = 150.0 }", "{ sizes = [8], weights = [1.0] }"])
-def test_a_class_is_changed_in_the_words_of_its_site(name: str, tasks: str) -> None:
+def test_a_class_is_changed_in_the_form_of_its_site_file(name: str, tasks: str) -> None:
     data = tomllib.loads(SITE.replace("{ median = 30.0, p95 = 90.0, max = 150.0 }", tasks))
-    (change,) = [step for step in steps_of(named(name), 1, site_of(data, 1.0)) if isinstance(step, JobsChange)]
-    # The bench lays the day's table over the site's, and refuses a mixture of both forms.
+    (change,) = [
+        step for step in steps_of(meeting_named(name), 1, site_of(data, 1.0)) if isinstance(step, JobsChange)
+    ]
+    # The bench merges the day's table into the site's, and refuses a mixture of both forms.
     assert dict(change.options)["tasks"].keys() == data["jobs"][1]["tasks"].keys()
 
 
-def test_half_as_many_machines_again_are_hit_by_the_same_meetings() -> None:
+def test_faults_hit_machines_in_proportion_to_the_size() -> None:
     once, larger = site_of_this_file(), site_of_this_file(1.5)
     assert (once.machines, larger.machines) == (200, 300)
     grown = 0
@@ -299,7 +303,7 @@
     assert grown > 10
 
 
-def test_the_same_seed_writes_the_same_file_and_prints_itself(tmp_path: Path, site_file: Path) -> None:
+def test_the_same_seed_writes_the_same_file_and_is_printed(tmp_path: Path, site_file: Path) -> None:
     first, second = tmp_path / "first.toml", tmp_path / "second.toml"
     for path in (first, second):
         done = run("--seed", "11", "--site", site_file, "--out", path)
@@ -310,7 +314,7 @@
     assert run("--seed", "12", "--site", site_file).stdout != first.read_text()
 
 
-def test_a_seed_that_was_not_given_is_printed_and_tells_the_day_again() -> None:
+def test_a_drawn_seed_is_printed_and_reproduces_the_day() -> None:
     drawn = run()
     seed = drawn.stderr.partition(":")[0].removeprefix("seed ")
     assert drawn.returncode == 0 and run("--seed", seed).stdout == drawn.stdout
@@ -348,7 +352,7 @@
 
 
 @pytest.mark.parametrize("fault", BROKEN_SITES)
-def test_a_site_that_cannot_be_used_is_refused_in_one_line(fault: str, tmp_path: Path) -> None:
+def test_an_unusable_site_is_refused_in_one_line(fault: str, tmp_path: Path) -> None:
     path = tmp_path / "broken.toml"
     path.write_text(BROKEN_SITES[fault])
     with pytest.raises(SiteError, match=r"broken\.toml") as raised:
@@ -378,7 +382,7 @@
 
 
 @pytest.mark.parametrize("args", BAD_ARGUMENTS, ids=" ".join)
-def test_what_cannot_be_used_ends_with_two_and_one_line(args: list[str], tmp_path: Path, site_file: Path) -> None:
+def test_bad_arguments_give_exit_code_2_and_one_line(args: list[str], tmp_path: Path, site_file: Path) -> None:
     (tmp_path / "bytes.toml").write_bytes(b"\xff\xfe")
     (tmp_path / "broken.toml").write_text("[nodes")
     command = [sys.executable, str(TOOLS / "meeting_days.py"), *args]
@@ -388,7 +392,7 @@
     assert site_file.read_text() == SITE
 
 
-def test_a_fault_of_machines_needs_one_choice() -> None:
+def test_a_fault_of_machines_needs_exactly_one_choice() -> None:
     for options in ({}, {"count": 3, "share": 0.1}):
         with pytest.raises(ValueError, match="exactly one of them"):
             MachineDeaf(at_s=1.0, for_s=2.0, **options)
@@ -396,8 +400,8 @@
         toml_value({1})
 
 
-def days_of_our_own() -> dict[str, dict[str, Any]]:
-    """The days in `tools/days/`, with the words for a site's names replaced."""
+def days_of_this_repository() -> dict[str, dict[str, Any]]:
+    """Return the days in `tools/days/` by name, with the placeholder for the number of controllers replaced."""
     days = {}
     for path in sorted((TOOLS / "days").glob("*.toml")):
         data = tomllib.loads(path.read_text().replace("@nodes", "5"))
@@ -406,23 +410,23 @@
     return days
 
 
-def test_each_new_trouble_is_on_at_least_three_days_of_our_own_in_other_company() -> None:
-    days = days_of_our_own()
-    kinds = {name.split()[0] for name in NEW} | {
+def test_each_newer_kind_of_fault_is_on_three_days_with_different_combinations() -> None:
+    days = days_of_this_repository()
+    kinds = {name.split()[0] for name in NEWER_KINDS} | {
         "late_writes at once",
         "late_reports for the next",
         "cancel_now with hangs",
     }
     for kind in sorted(kinds):
-        company = set()
+        combinations = set()
         for day in days.values():
-            found = set().union(*map(of_the_new, day["faults"]))
+            found = set().union(*map(newer_kinds_of, day["faults"]))
             if any(name == kind or name.split()[0] == kind for name in found):
-                company.add(frozenset(found))
-        assert len(company) >= 3, kind
+                combinations.add(frozenset(found))
+        assert len(combinations) >= 3, kind
 
 
-def test_the_days_of_meetings_are_played_at_both_sizes() -> None:
+def test_days_of_meetings_are_in_the_matrix_at_both_sizes() -> None:
     matrix = tomllib.loads((TOOLS / "days" / "acceptance.toml").read_text())["row"]
     sizes: dict[str, set[float]] = {}
     for row in matrix:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' S-expression file."""
+"""Reading and checking the operators' S-expression file."""
 
 from pathlib import Path
 
@@ -19,9 +19,9 @@
 
 
 def test_every_setting_has_a_default_within_its_range():
-    knobs = OperatorSettings()
+    settings = OperatorSettings()
     for setting in SETTINGS.values():
-        value = getattr(knobs, setting.field)
+        value = getattr(settings, setting.field)
         if isinstance(value, bool):
             assert setting.read([sexpdata.Symbol("yes" if value else "no")]) is value
         elif value is not None and not isinstance(value, tuple):
@@ -29,13 +29,13 @@
 
 
 def test_settings_are_read(tmp_path: Path):
-    knobs = load(tmp_path, "(ashtray (group-size 8) ; eight\n (rules packing trust) (weights 1 2 0.5))")
-    assert (knobs.group_size, knobs.rules, knobs.weights) == (8, ("packing", "trust"), (1.0, 2.0, 0.5))
+    settings = load(tmp_path, "(ashtray (group-size 8) ; eight\n (rules packing trust) (weights 1 2 0.5))")
+    assert (settings.group_size, settings.rules, settings.weights) == (8, ("packing", "trust"), (1.0, 2.0, 0.5))
     assert load(tmp_path, "(ashtray)") == OperatorSettings()
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         ("(ashtray\n  (group-size 0))", "line 2, column 4: group-size: expected a whole number from 1 to 1000"),
         ("(ashtray\n  ; (colour 1)\n  (colour 3))", "line 3, column 4: unknown setting colour"),
@@ -49,14 +49,14 @@
         ("(ashtray", "not an S-expression"),
     ],
 )
-def test_errors_name_the_setting_and_its_place(tmp_path: Path, text: str, named: str):
+def test_errors_name_the_setting_and_its_position(tmp_path: Path, text: str, expected: str):
     with pytest.raises(SettingsError) as caught:
         load(tmp_path, text)
-    assert named in str(caught.value)
+    assert expected in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_groups_that_fit_no_value_are_refused(tmp_path: Path, capsys: pytest.CaptureFixture[str]):
+def test_a_group_size_over_the_value_limit_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture[str]):
     config, operators = tmp_path / "settings.toml", tmp_path / "operators.sexp"
     config.write_text(
         'host_name = "berth-0"\napi_addr = "127.0.0.1:1"\ncluster_listen = "127.0.0.1:2"\n'
@@ -75,7 +75,7 @@
 
 
 @given(st.text(alphabet="()ashtry 01.;\n\"'-", max_size=40))
-def test_any_text_is_read_or_refused_with_one_line(tmp_path_factory, text):
+def test_any_text_is_read_or_refused_in_one_line(tmp_path_factory, text):
     try:
         load(tmp_path_factory.mktemp("s"), text)
     except SettingsError as error:
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""What the tools make of logs and reports: a figure that is read wrongly is worse than none."""
+"""The tools that read logs and reports: a misread figure would mislead more than a missing one."""
 
 import importlib.util
 import json
@@ -95,7 +95,7 @@
     return module
 
 
-def test_a_copy_of_a_site_has_half_as_many_machines_again_and_work_for_them() -> None:
+def test_a_copy_of_a_site_is_scaled_by_the_factors_of_its_row() -> None:
     accept = load("accept")
     row = accept.Row("a", "loss", size=1.5, back_s=0.05, limits=2.0, changes=0.5, work=2.0)
     text = accept.site_text(SITE, row)
@@ -117,7 +117,7 @@
     assert accept.site_text(SITE, accept.Row("a", "loss")) == accept.site_text(SITE, accept.Row("b", "busy"))
 
 
-def test_a_day_of_our_own_is_played_with_the_names_of_its_site(tmp_path: Path) -> None:
+def test_days_of_this_repository_get_the_names_of_the_site(tmp_path: Path) -> None:
     accept = load("accept")
     (tmp_path / "wire.json").write_text("{}")
     site = tmp_path / "a-fleet.toml"
@@ -128,13 +128,13 @@
             assert "@" not in Path(day).read_text(), row.name
     assert 'class = "panel"' in (tmp_path / "out" / "fourfold.toml").read_text()
     assert "count = 278" in (tmp_path / "out" / "dead.toml").read_text()
-    # The last row of a day is the one that stays: of the days of meetings that at half as many machines again.
+    # All rows of a day write the same file, so the last row remains: for days of meetings that of size 1.5.
     limits = (tmp_path / "out" / "limits-and-hangs.toml").read_text()
     assert 'kind = "machine_cut", count = 90' in limits and 'kind = "cancel_now", count = 40' in limits
     assert 'zone = "z", for_s = 6.0' in (tmp_path / "out" / "looks-in-handover.toml").read_text()
 
 
-def test_a_class_under_half_fails_a_day_and_the_least_is_marked(tmp_path: Path) -> None:
+def test_a_class_under_half_fails_a_day_and_the_lowest_share_is_marked(tmp_path: Path) -> None:
     accept = load("accept")
     report, log = tmp_path / "report.json", tmp_path / "report.log"
     report.write_text(json.dumps(REPORT))
@@ -143,12 +143,12 @@
     assert (day.figure, day.played_s, day.memory, day.connections) == (0.31, 350.0, "44 of 201", "475 of 1538")
     panel = next(part for part in day.parts if part.name == "panel")
     assert (panel.share(), panel.tasks_done) == (0.25, 10)
-    # Of the two panels the larger one began after 176 s, and is not done.
+    # The larger of the two panel jobs began after 176 s, and is not done.
     assert day.failed(0.5) == ["panel 0.25", "largest panel 0.00"]
     found = {part.name: (part.jobs, part.share()) for part in day.parts}
     assert found["largest panel, begun"] == (1, 1.0) and found["largest panel"] == (1, 0.0)
     assert found["largest render"] == (1, 1.0)
-    # The render came 190 s before the end and has no place yet: that is not late.
+    # The render job was accepted 190 s before the end and has not been placed yet: it does not count as late.
     assert "largest render, begun" not in found
     text = accept.table([day], 0.5, 0.6)
     assert "**largest panel 0 of 1: 0.00" in text and "panel 1 of 4: 0.25" in text and "FAILS" in text
@@ -172,7 +172,7 @@
 """
 
 
-def test_a_cancelled_job_is_owed_to_nobody_unless_it_was_done_or_waited_too_long(tmp_path: Path) -> None:
+def test_a_cancelled_job_counts_only_if_it_was_done_or_waited_too_long(tmp_path: Path) -> None:
     accept = load("accept")
     report, log = tmp_path / "report.json", tmp_path / "report.log"
     panel = {"jobs": 4, "started": 2, "done": 1, "tasks": 120}
@@ -180,20 +180,21 @@
     log.write_text(CANCELLED_LOG)
     day = accept.read_results("a day", report, log, None)
     found = {part.name: part for part in day.parts}
-    # Of the four jobs the first alone is not owed; the third waited for 290 s, the fourth began after 390 s.
+    # Only the first of the four jobs does not count: the second was done, and the third waited for 290 s before it
+    # was cancelled.  The fourth was not cancelled, and began after 390 s.
     assert found["panel"].called_off == 1 and found["panel"].share() == pytest.approx(1 / 3)
     assert (found["largest panel"].jobs, found["largest panel"].share()) == (3, pytest.approx(1 / 3))
     assert found["largest panel, begun"].share() == 0.0
     assert "panel 1 of 4 (1 called off): 0.33" in accept.table([day], 0.5, 0.6)
-    # The report counts the first job as done when it was cancelled as its last task ended: it is not counted twice.
+    # A report can count the first job as done, as its last task ended when it was cancelled: it counts once.
     report.write_text(json.dumps({**REPORT, "classes": {"panel": {**panel, "done": 2}}}))
     assert accept.read_results("a day", report, log, None).parts[0].share() == pytest.approx(1 / 3)
     report.write_text(json.dumps({**REPORT, "classes": {"panel": panel}}))
-    # Without the log nobody knows which jobs were cancelled: all are owed.
+    # Without the log it is unknown which jobs were cancelled, so all count.
     assert accept.read_results("a day", report, None, None).parts[0].share() == 0.25
 
 
-def test_the_stages_of_a_start_are_read_from_the_log() -> None:
+def test_takeover_reads_the_times_of_a_start_from_the_log() -> None:
     takeover = load("takeover")
     lines, falls = takeover.read_log(LOG)
     found, full = takeover.starts(lines, falls)
@@ -203,9 +204,10 @@
     assert len(full) == 1 and full[0].taken_over == pytest.approx(4.0) and full[0].decided == pytest.approx(5.0)
 
 
-def test_bounds_on_the_least_share_of_two_classes() -> None:
+def test_bound_on_the_share_of_two_classes() -> None:
     bounds = load("bounds")
-    # Room for half of each where sizes are alike; the smallest jobs first take less than their part of the room.
+    # Places suffice for half of each class if jobs have one size.  Otherwise the smallest jobs, which are done first,
+    # need less than a proportional part of the places, and more jobs can be done.
     half = bounds.floor(10.0, 100.0, 250.0, 10.0, 100.0, 250.0, 50.0, 10.0, 10.0, 1.0, 1.0)
     assert half == pytest.approx(0.5)
     more = bounds.floor(10.0, 100.0, 250.0, 10.0, 100.0, 250.0, 50.0, 10.0, 10.0, 30.0, 90.0)
@@ -214,14 +216,14 @@
 
 
 @pytest.mark.parametrize("args", [["--machines", "0"], ["--seconds", "-1"], ["--load", "x"], ["--unknown"]])
-def test_the_ledger_refuses_what_it_cannot_use_in_a_line(args: list[str]) -> None:
+def test_ledger_refuses_bad_arguments_in_one_line(args: list[str]) -> None:
     command = [sys.executable, str(TOOLS / "ledger.py"), *args]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 2
     assert done.stderr.strip().splitlines()[-1].startswith("ledger.py: error: ")
 
 
-def test_the_ledger_tells_the_same_counts_twice() -> None:
+def test_ledger_counts_are_the_same_for_the_same_arguments() -> None:
     command = [
         sys.executable,
         str(TOOLS / "ledger.py"),
--- a/tools/meetings/day.py
+++ b/tools/meetings/day.py
@@ -31,7 +31,7 @@
         return min(fault.at_s for fault in self.faults)
 
     def moved_to(self, at_s: float) -> ScheduledMeeting:
-        """Return the meeting with its first fault at `at_s`: on some sites earlier steps of a meeting are left out."""
+        """Return the meeting with its first fault at `at_s`: on some sites its usual first fault is missing."""
         later_s = at_s - self.begin_s()
         return ScheduledMeeting(
             self.meeting, [replace(each, at_s=round(each.at_s + later_s, 1)) for each in self.faults]
