--- a/ashtray/cli.py
+++ b/ashtray/cli.py
@@ -63,15 +63,15 @@
 def _check(args: argparse.Namespace) -> int:
     if args.config is None and args.operators is None:
         return _fail("check needs --config, --operators or both", EXIT_USAGE)
-    shown: dict[str, Any] = {}
+    result: dict[str, Any] = {}
     if args.config is not None:
         settings, operator_settings = _load(args.config, args.operators)
-        shown["config"] = {"host_name": settings.host_name, "others": [p.host_name for p in settings.others]}
+        result["config"] = {"host_name": settings.host_name, "others": [p.host_name for p in settings.others]}
     else:
         operator_settings = load_operator_settings(args.operators)
-    shown["operators"] = {name: getattr(operator_settings, setting.field) for name, setting in SETTINGS.items()}
+    result["operators"] = {name: getattr(operator_settings, setting.field) for name, setting in SETTINGS.items()}
     if args.json:
-        print(json.dumps(shown))
+        print(json.dumps(result))
         return EXIT_OK
     if args.config is not None:
         print(f"{args.config}: good ({settings.host_name}, {len(settings.others)} others)")
@@ -105,16 +105,16 @@
     if args.json:
         print(json.dumps({"http_status": status, "answer": answer}))
     elif status in (200, 201):
-        print(_readable(answer))
+        print(_format_answer(answer))
     else:
         reason = answer.get("error", "") if isinstance(answer, dict) else ""
         return _fail(f"{reason or 'refused'} ({status})", EXIT_FAILED)
     return EXIT_OK if status in (200, 201) else EXIT_FAILED
 
 
-def _readable(answer: dict[str, Any]) -> str:
+def _format_answer(answer: dict[str, Any]) -> str:
     if "estimates" in answer:
-        return _table(answer["estimates"])
+        return _format_estimates(answer["estimates"])
     if "forgotten" in answer:
         return f"{answer['forgotten']} levels are forgotten"
     if "places" not in answer:
@@ -139,7 +139,7 @@
     return "\n".join(lines)
 
 
-def _table(rows: list[dict[str, Any]]) -> str:
+def _format_estimates(rows: list[dict[str, Any]]) -> str:
     """Format the learned run times, one level on each line."""
     if not rows:
         return "nothing has been learnt yet"
--- a/tools/accept.py
+++ b/tools/accept.py
@@ -20,11 +20,11 @@
 
 Results are kept in `--dir` under a name made of the version of the sources, the row, the site and the seed: if the
 tool is interrupted and called again, it continues with the days that are missing.  For each day the table has the
-broken rules, processes that crashed, the time that the run took, the highest memory and connection count of a process
-beside the site's limit, and the share of submissions that were accepted.  For each job class and team it has the jobs
-submitted, started and done, and for classes the tasks of jobs that were done.  A class or team whose share of done
-jobs is under `--floor` fails the day; a class under `--aim` is marked.  For a team the report counts started jobs
-only, so a team is judged by these.
+broken rules, processes that ended on their own, the time that the run took, the highest memory and connection count
+of a process beside the site's limit, and the share of submissions that were accepted.  For each job class and team
+it has the jobs submitted, started and done, and for classes the tasks of jobs that were done.  A class or team whose
+share of done jobs is under `--floor` fails the day; a class under `--aim` is marked.  For a team the report counts
+started jobs only, so a team is judged by these.
 
 Of the largest jobs of a class, as read from the log lines, half must be done, and half must begin within four
 minutes.  An array begins when its first task is placed, a gang when its first part is placed, which is mostly the
@@ -63,7 +63,8 @@
 """Half of the largest jobs of a class must begin within this time after their submission."""
 LARGEST = (0.1, 0.25)
 """The shares of a class's jobs, by number of tasks, that are checked as its largest; jobs of equal size are added."""
-PLAYED = re.compile(r"to play it took ([\d.]+) s for the world, ([\d.]+) s in .* and ([\d.]+) s in the kernel")
+RUN_TIMES = re.compile(r"to play it took ([\d.]+) s for the world, ([\d.]+) s in .* and ([\d.]+) s in the kernel")
+"""The bench's line on the processor time of a run, in seconds: the simulation, the processes, the kernel."""
 SECTION = re.compile(r"\[+([\w.]+)\]+\s*$")
 SCALED = {  # the numbers of a site that scale with its size, by section
     "capacity": ("count", "spot"),
@@ -110,8 +111,8 @@
     def share(self) -> float:
         """Return the share of jobs, without those called off, that were done (for teams: started), from 0 to 1."""
         if self.called_off:
-            owed = self.jobs - self.called_off
-            return self.done_by_log / owed if owed else 1.0
+            expected = self.jobs - self.called_off
+            return self.done_by_log / expected if expected else 1.0
         return (self.started if self.done is None else self.done) / self.jobs
 
 
@@ -235,7 +236,7 @@
     tasks: dict[str, tuple[int, str]] = {}
     done: set[str] = set()
     cancelled_s: dict[str, float] = {}
-    came_s: dict[str, float] = {}
+    accepted_s: dict[str, float] = {}
     begun_s: dict[str, float] = {}
     last_s = 0.0
     printed = log.read_text(encoding="utf-8", errors="replace") if log is not None and log.exists() else ""
@@ -244,14 +245,14 @@
             last_s = float(line.split(None, 1)[0])
         if found := ACCEPTED.search(line):
             tasks[found[1]] = int(found[2]), found[3]
-            came_s.setdefault(found[1], last_s)
+            accepted_s.setdefault(found[1], last_s)
         elif found := PLACED.search(line):
             begun_s.setdefault(found[1], last_s)
         elif found := DONE.search(line):
             done.add(found[1])
         elif found := CANCELLED.search(line):
             cancelled_s.setdefault(found[1], last_s)
-    off = jobs_called_off(cancelled_s, done, came_s, begun_s)
+    off = jobs_called_off(cancelled_s, done, accepted_s, begun_s)
     parts = []
     for name, row in data["classes"].items():
         if row["jobs"]:
@@ -263,7 +264,7 @@
                 Part(name, row["jobs"], row["started"], row["done"], row["tasks"], by_tasks, of_class, len(known))
             )
             sizes = {job: n for job, (n, of) in tasks.items() if of == name and job not in off}
-            parts += largest_jobs(name, sizes, came_s, begun_s, done, last_s)
+            parts += largest_jobs(name, sizes, accepted_s, begun_s, done, last_s)
     for name, row in data["teams"].items():
         if row["jobs"]:
             parts.append(Part(f"team {name}", row["jobs"], row["started"], None))
@@ -271,7 +272,7 @@
     most = {key: max(node[key] for node in nodes) for key in ("memory_peak_mb", "connections_peak")}
     given = (site or {}).get("nodes", {})
     figure = re.search(rf"(?m)^{re.escape(data['scenario'])}\s+\d+\s+(\d\.\d+)", printed)
-    played = PLAYED.search(printed)
+    played = RUN_TIMES.search(printed)
     return DayResult(
         title,
         f"{data['scenario']} {data['seed']}",
@@ -288,20 +289,20 @@
 
 
 def jobs_called_off(
-    cancelled_s: dict[str, float], done: set[str], came_s: dict[str, float], begun_s: dict[str, float]
+    cancelled_s: dict[str, float], done: set[str], accepted_s: dict[str, float], begun_s: dict[str, float]
 ) -> set[str]:
     """Return the jobs that need not be done: cancelled, not done, and not left waiting for `BEGIN_S` before."""
     return {
         job
         for job, at_s in cancelled_s.items()
-        if job in came_s and job not in done and min(at_s, begun_s.get(job, at_s)) - came_s[job] < BEGIN_S
+        if job in accepted_s and job not in done and min(at_s, begun_s.get(job, at_s)) - accepted_s[job] < BEGIN_S
     }
 
 
 def largest_jobs(
     name: str,
     tasks: dict[str, int],
-    came_s: dict[str, float],
+    accepted_s: dict[str, float],
     begun_s: dict[str, float],
     done: set[str],
     last_s: float,
@@ -312,9 +313,9 @@
         sizes = sorted(tasks.values(), reverse=True)
         least = sizes[max(int(part * len(sizes)) - 1, 0)]
         jobs = [job for job, n in tasks.items() if n >= least]
-        due = [job for job in jobs if job in begun_s or came_s[job] < last_s - BEGIN_S]
+        due = [job for job in jobs if job in begun_s or accepted_s[job] < last_s - BEGIN_S]
         if due:
-            in_time = sum(begun_s.get(job, last_s) - came_s[job] < BEGIN_S for job in due if job in begun_s)
+            in_time = sum(begun_s.get(job, last_s) - accepted_s[job] < BEGIN_S for job in due if job in begun_s)
             begun.append(Part(f"largest {name}, begun", len(due), in_time, None))
         ended.append(Part(f"largest {name}", len(jobs), len(jobs), sum(job in done for job in jobs)))
     return [min(found, key=Part.share) for found in (begun, ended) if found]
--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -17,9 +17,10 @@
 import math
 from statistics import NormalDist
 
-JOB_CHANGES = 4
+JOB_WRITES = 4
 """The writes to the state service that each job costs: accepted, placed, ended, and its long record removed."""
 Z95 = NormalDist().inv_cdf(0.95)
+"""The 95th percentile of the standard normal distribution."""
 
 
 def finished(median: float, p95: float, within: float, overhead: float, tasks: int) -> float:
@@ -53,7 +54,7 @@
     removed).  The remaining writes are for the group records.  If each write frees and fills a whole group, resources
     that a task frees wait for half a cycle through all groups on average until the next task gets them.
     """
-    left = rate - JOB_CHANGES * jobs
+    left = rate - JOB_WRITES * jobs
     if left <= 0:
         return 0.0
     empty = groups / left / 2
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -92,10 +92,10 @@
         for day in entry["days"]:
             name, score = day["name"], day["score"]
             row = known.get(name)
-            fallen = row is not None and score < row["best"] - noise
+            worse = row is not None and score < row["best"] - noise
             fault = ", ".join(day.get("rules") or ()) or day.get("fault")
-            bad += bool(fault or fallen)
-            mark = f"  FAILED: {fault}" if fault else "  FELL" if fallen else ""
+            bad += bool(fault or worse)
+            mark = f"  FAILED: {fault}" if fault else "  FELL" if worse else ""
             best = "none" if row is None else f"{row['best']:.3f}"
             print(f"{entry['site']:34} {name:14} {score:.3f}  best {best}{mark}")
             if not name.startswith("fresh") and not fault and (row is None or score > row["best"]):
