--- a/ashtray/peers/__init__.py
+++ b/ashtray/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The other controllers: presence, steering and handing on."""
+"""Communication between controllers: presence under a lease, heartbeats and announcements of cancellations."""
--- a/ashtray/peers/announcements.py
+++ b/ashtray/peers/announcements.py
@@ -1,10 +1,12 @@
-"""Tells all peers of a cancellation before its user is told, so that none of them starts a task of the job any more.
+"""Announces a cancellation to all peers before the user gets the answer, so that no peer starts a task of the job.
 
-Peers read of a cancellation with their next look at the state service, some tenths of a second later.  Until then one
-of them may start a task on its cluster state of before.  A start order of it, or of this controller, may also be
-on its way to a worker: each controller makes those void that get no answer, and answers when that is done.  No
-rule rests on
-this message: where a peer does not answer, the user is told all the same, and the peer reads of the cancellation.
+Without the announcement, a peer learns of a cancellation when it next reads the state service, some tenths of a
+second later, and may start a task from its outdated cluster state until then.  Start orders of the job may also be
+in transit to workers, from a peer or from this controller: each controller voids its own start orders that get no
+answer, and answers the announcement when this is done.
+
+No safety rule depends on the announcement: if a peer does not answer, the user is answered all the same, and the peer
+learns of the cancellation from the state service.
 """
 
 from __future__ import annotations
@@ -18,14 +20,14 @@
 from ashtray.kernel import Call, Fiber, Kernel, Reply, Signal, Sleep, Wait
 
 PATH = "/peer/cancelled"
-BATCH_US = 3_000
-"""Cancellations that come within this time share a message."""
-PATIENCE_US = 300_000
-"""A user waits no longer than this for the peers' answers."""
+BATCHING_WINDOW_US = 3_000
+"""Batching window: cancellations that are announced within it share one message to each peer."""
+ANSWER_TIMEOUT_US = 300_000
+"""How long peers may take to answer before the user is answered without them."""
 
 
 class CancellationNotice(msgspec.Struct):
-    """The message to a peer: these jobs' cancellations have been committed."""
+    """The message to a peer: the ids of jobs whose cancellation has been committed."""
 
     cancelled: list[Annotated[str, msgspec.Meta(max_length=100)]]
 
@@ -34,23 +36,23 @@
     """A peer's answer to a notice."""
 
     settled: list[str] = []
-    """The machines that report to the peer and can't start a task of these jobs any more."""
+    """The machines that report to the peer and can no longer start a task of these jobs."""
 
 
 @dataclass
 class _Batch:
-    """Cancellations that go out together."""
+    """Cancellations that are announced in one message."""
 
     job_ids: list[str] = field(default_factory=list)
     unanswered: int = 0
     settled: set[str] = field(default_factory=set)
-    """The machines that a controller answers for."""
+    """The machines for which a controller has confirmed that they can no longer start a task of these jobs."""
     answered: Signal = field(default_factory=Signal)
-    """Fired when all peers have answered or failed to."""
+    """Fired when every peer has answered or its call has failed, and this controller's own workers are settled."""
 
 
 class CancellationAnnouncer:
-    """Sends committed cancellations to all peers, those of one moment in one message to each."""
+    """Announces committed cancellations to all peers, in one message for each batching window."""
 
     def __init__(
         self,
@@ -59,9 +61,11 @@
         settle: Callable[[list[str]], Fiber[list[str]]] | None = None,
         void_elsewhere: Callable[[str, set[str]], Fiber[None]] | None = None,
     ) -> None:
-        """`settle` returns, soon in any case, once no worker that reports here can start tasks of cancelled jobs.
+        """Create an announcer for the peers at these addresses.
 
-        `void_elsewhere` does what it can for the machines that no controller answers for.
+        `settle` gets job ids and returns the machines that report to this controller and can no longer start tasks of
+        these jobs; it always returns soon.  `void_elsewhere` gets a job id and the machines that are settled, and
+        tries to void the job's start orders on all others.
         """
         self._kernel = kernel
         self._addresses = list(addresses)
@@ -70,21 +74,21 @@
         self._open: _Batch | None = None
 
     def announce(self, job_id: str) -> Fiber[None]:
-        """Tell all peers that a job's cancellation is committed; returns once they know, or soon after `PATIENCE_US`.
+        """Announce a committed cancellation; return when all peers have answered or `ANSWER_TIMEOUT_US` is over.
 
-        By then no start of its tasks is on its way from this controller, or from a peer that has answered.
+        By then no start order for the job is in transit from this controller or from a peer that has answered.
         """
         if self._open is None:
             self._open = _Batch()
             self._kernel.spawn(self._send(self._open))
         batch = self._open
         batch.job_ids.append(job_id)
-        yield Wait(batch.answered, BATCH_US + PATIENCE_US)
+        yield Wait(batch.answered, BATCHING_WINDOW_US + ANSWER_TIMEOUT_US)
         if self._void_elsewhere is not None:
             yield from self._void_elsewhere(job_id, batch.settled)
 
     def _send(self, batch: _Batch) -> Fiber[None]:
-        yield Sleep(BATCH_US)
+        yield Sleep(BATCHING_WINDOW_US)
         self._open = None
         batch.unanswered = len(self._addresses) + 1
         for address in self._addresses:
@@ -94,7 +98,7 @@
         self._count_answer(batch)
 
     def _tell(self, address: str, batch: _Batch) -> Fiber[None]:
-        reply: Reply = yield Call(address, "POST", PATH, {"cancelled": batch.job_ids}, PATIENCE_US)
+        reply: Reply = yield Call(address, "POST", PATH, {"cancelled": batch.job_ids}, ANSWER_TIMEOUT_US)
         if reply.status == 200:
             batch.settled.update(settled_machines(reply.body))
         self._count_answer(batch)
@@ -106,7 +110,7 @@
 
 
 def settled_machines(body: Any) -> list[str]:
-    """The machines that a peer answers for; none where its answer is malformed."""
+    """Return the machines that a peer's answer names as settled; an empty list if the answer is malformed."""
     try:
         return msgspec.convert(body, CancellationReceipt).settled
     except msgspec.ValidationError:
--- a/ashtray/standby/book.py
+++ b/ashtray/standby/book.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-HEIRS = 2
+SUCCESSORS = 2
 MOST = 200
 """Machines told of in each list: about 4 KB."""
 OLD_US = 20_000_000
--- a/ashtray/standby/failure_detector.py
+++ b/ashtray/standby/failure_detector.py
@@ -89,7 +89,7 @@
     def __init__(self, hosts: Iterable[str], heartbeat_interval_us: int) -> None:
         self.heartbeat_interval_us = heartbeat_interval_us
         self.peers = {host: PeerEvidence(0) for host in sorted(hosts)}
-        self._away: frozenset[str] = frozenset()
+        self._unavailable: frozenset[str] = frozenset()
         self.suspicions = 0
         """How often a peer came to be suspected."""
 
@@ -161,12 +161,12 @@
             if not peer.refused and not peer.unanswered and any(at > since_us for at in peer.doubted_by.values())
         ]
 
-    def judge(self, now_us: int, awake_us: int, live: list[str], own_read_age_us: int) -> frozenset[str]:
+    def evaluate(self, now_us: int, awake_us: int, live: list[str], own_read_age_us: int) -> frozenset[str]:
         """Decide which peers are away: suspected, or unable to read the state service.
 
         `live` names the controllers that hold a lease; `own_read_age_us` is the age of this controller's last read.
         """
-        away = set()
+        unavailable = set()
         for host, peer in self.peers.items():
             self._follow_lease(peer, host in live, now_us)
             doubted = self.until_doubt_us(host, now_us, awake_us) == 0
@@ -174,10 +174,10 @@
                 self._suspect_if_confirmed(host, live, now_us)
             unreadable = own_read_age_us < OWN_READ_US and self._cannot_read(peer, now_us)
             if peer.suspected_since_us is not None or unreadable:
-                away.add(host)
-        if away != self._away:
-            self._away = frozenset(away)
-        return self._away
+                unavailable.add(host)
+        if unavailable != self._unavailable:
+            self._unavailable = frozenset(unavailable)
+        return self._unavailable
 
     def _follow_lease(self, peer: PeerEvidence, holds_lease: bool, now_us: int) -> None:
         """End the suspicion of a peer that has held its lease for too long since."""
@@ -215,4 +215,4 @@
     @property
     def away(self) -> frozenset[str]:
         """The peers that were away when last judged."""
-        return self._away
+        return self._unavailable
--- a/tests/mutants/gap.py
+++ b/tests/mutants/gap.py
@@ -20,8 +20,8 @@
     ),
     "statements-count-from-their-arrival": (
         PRESENCE,
-        "self._stated(host, asked_us, statement.cancelled)",
-        "self._stated(host, self.base.kernel.now_us + SECOND_US, statement.cancelled)",
+        "self._on_statement(host, asked_us, statement.cancelled)",
+        "self._on_statement(host, self.base.kernel.now_us + SECOND_US, statement.cancelled)",
     ),
     "incomplete-statements-count": (PRESENCE, "if statement.complete:", "if True:"),
     "a-late-start-states-everything": (LOG, "max(followed_from, self._dropped_revision) > beyond", "False"),
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -166,7 +166,7 @@
     "what-was-heard-is-taken-back": ("ashtray/peers/presence.py", "if at_us > since_us}\n", "if False}\n"),
     "changes-in-proportion": (
         "ashtray/peers/presence.py",
-        "    return own + left / len(needs)\n",
+        "    return own_share + left / len(needs)\n",
         "    return total * mine / max(sum(needs), 1e-9)\n",
     ),
     "a-low-rate-is-waited-out": (
@@ -298,7 +298,7 @@
     "older-one-not-asked": (
         "ashtray/peers/presence.py",
         'min(seen.get(host, {}).get("form", 0) for host in hosts)',
-        "min(WAITS if host in seen else 0 for host in hosts)",
+        "min(DEPENDENCIES_VERSION if host in seen else 0 for host in hosts)",
     ),
     "size-not-checked": ("ashtray/store/client.py", "return size <= self.value_bytes * VALUE_SHARE", "return True"),
     "moved-machines-count": (GROUP_INDEX, "            if name <= moved_upto:\n", "            if False:\n"),
@@ -323,7 +323,7 @@
     "notice-taken-for-nothing-new": (DESK, "worker.quiet if report.notice_us is None else None", "worker.quiet"),
     "alone-keeps-its-workers": (
         "ashtray/peers/presence.py",
-        "return next(iter(self.presence.heirs(key, 1)), None)",
+        "return next(iter(self.presence.successors(key, 1)), None)",
         "return None",
     ),
     "alone-sends-on-for-ever": (
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ashtray.kernel import Kernel
-from ashtray.peers.presence import part_of
+from ashtray.peers.presence import fair_share
 from ashtray.store.client import Bucket, Lane, Urgency
 from tests.model import SECOND, Model, submission
 
@@ -15,7 +15,7 @@
 
 
 def parts(total: float, needs: list[float]) -> list[float]:
-    return [part_of(total, need, needs[:n] + needs[n + 1 :]) for n, need in enumerate(needs)]
+    return [fair_share(total, need, needs[:n] + needs[n + 1 :]) for n, need in enumerate(needs)]
 
 
 @given(NEEDS, st.floats(1, 60))
@@ -89,7 +89,7 @@
     # For a long time it needed nothing, while the others say that they could use all.
     for peer in core.peers.peers.values():
         peer.need = 100.0
-    core.peers._need = 1e-9
+    core.peers._write_demand = 1e-9
     assert next(core.peers.budget(), None) is None
     assert core.store.changes.bucket.rate > 1.0
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -44,9 +44,9 @@
     for number in SIZES:
         now = core.kernel.now_us
         core.peers._reports = lambda number=number, now=now: dict.fromkeys(names(number), now)
-        to_runner = len(msgspec.msgpack.encode(core.peers._word("berth-1")))
+        to_runner = len(msgspec.msgpack.encode(core.peers._heartbeat("berth-1")))
         # Nobody but the runner of the fleet has any use for that.
-        assert len(msgspec.msgpack.encode(core.peers._word("berth-2"))) < 200
+        assert len(msgspec.msgpack.encode(core.peers._heartbeat("berth-2"))) < 200
         sizes.append(to_runner)
     proportional(sizes)
     assert sizes[-1] <= 20 * SIZES[-1]
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -138,7 +138,7 @@
 def test_words_of_the_old_process_do_not_make_the_new_one_suspected() -> None:
     model = busy(8)
     for _ in range(4):
-        word = model.hosts[2].core.peers._word("berth-0")
+        word = model.hosts[2].core.peers._heartbeat("berth-0")
         model.crash(2, 0.05)
         model.run(1.2)
         host = model.hosts[0]
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -358,13 +358,13 @@
             detector.heartbeat(host, now, 0, doubts)
         else:
             detector.called(host, what == "refused", False)
-        away = detector.judge(now, 0, live, 0)
-        for new in away - before:
+        unavailable = detector.evaluate(now, 0, live, 0)
+        for new in unavailable - before:
             assert new in detector.doubts(now, 0)
             assert len(detector.peers[new].doubted_by) >= 2
         if what == "word" and host in before:
             assert (
-                host in away
+                host in unavailable
                 or detector.peers[host].recovered >= RECOVERY_HEARTBEATS
                 or detector.peers[host].suspected_since_us is None
             )
@@ -372,7 +372,7 @@
     for _ in range(RECOVERY_HEARTBEATS):
         for host in HOSTS:
             detector.heartbeat(host, now, 0, ())
-    assert not detector.judge(now, 0, live, 0)
+    assert not detector.evaluate(now, 0, live, 0)
 
 
 NAMES = st.one_of(st.none(), st.lists(st.integers(0, 999).map(lambda n: f"vm-{n:06d}"), max_size=50, unique=True))
