--- a/ashtray/store/__init__.py
+++ b/ashtray/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: requests within the shared budgets, transactions, leases and the cluster state's source."""
+"""The client of the state service: paced requests, transactions and leases, and the follower of its records."""
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a cluster state of what is under a prefix, and proves to callers how fresh it is."""
+"""Keeps the cluster state up to date with the records under a prefix, and tells callers how fresh it is."""
 
 from __future__ import annotations
 
@@ -8,40 +8,42 @@
 from ashtray.kernel import SECOND_US, Fiber, Kernel, Reply, Signal, Sleep, Wait
 from ashtray.store.client import StoreClient, Txn, Urgency
 
-SHARE = 0.15
-"""Of the requests that the state service takes, the part that all controllers together spend on following when nobody
-is in a hurry.  Each round costs processor time, too."""
-LEAST_US = 150_000
-MOST_LATER_US = 2 * SECOND_US
-LOOK_US = 500_000
-"""A commit waits no longer than that for a look."""
-SHARED = (Urgency.FREE, Urgency.PLACE)
-"""What is written with these is written by several controllers."""
+FOLLOW_SHARE = 0.15
+"""The part of the state service's request rate that all controllers together spend on following while no caller needs
+an urgent round.  Each round also costs processor time."""
+MIN_ROUND_US = 150_000
+"""The least time from the start of one round to the next."""
+MAX_DELAY_US = 2 * SECOND_US
+"""The longest delay that is added to a pause while this process is behind with its inputs."""
+REFRESH_TIMEOUT_US = 500_000
+"""How long a commit waits at most for a refresh of the cluster state."""
+SHARED_URGENCIES = (Urgency.FREE, Urgency.PLACE)
+"""The urgencies of writes to records that several controllers write."""
 
 
 class Mirror(Protocol):
-    """What a follower fills."""
+    """The store of records that a follower keeps up to date."""
 
     def clear(self) -> None:
-        """Forget all records: they are read anew."""
+        """Forget all records; they are read again."""
 
     def put(self, key: str, value: Any, version: int) -> None:
-        """A record was written with this version."""
+        """Store a record that was written with this version."""
 
     def remove(self, key: str, version: int) -> None:
-        """A record was removed at this revision."""
+        """Delete a record that was removed at this revision."""
 
     def read(self, revision: int) -> None:
-        """All changes up to that revision have been put or removed; later ones only where they are this process's."""
+        """Note that all changes up to this revision were passed on, and of the later ones only this process's."""
 
 
 class Follower:
-    """Reads what is under `start` once, then asks again and again what has changed since under `prefix`.
+    """Reads the records under `start` once, then polls the changes under `prefix`.
 
-    The former is a part of the latter: what grows with history is never read, and yet its changes are seen.
+    `start` lies under `prefix`: records that accumulate with history are never read, but changes to them are seen.
 
-    A round that begins after a caller asked is that caller's barrier: whatever was true when it asked is in
-    the cluster state afterwards.  One round serves all callers that wait.
+    Each poll is a round.  A round that begins after a caller's request is a barrier for this caller: everything
+    committed before the request is in the cluster state afterwards.  One round serves all waiting callers.
     """
 
     def __init__(
@@ -61,27 +63,29 @@
         self.changed = changed
         self.revision = 0
         self.followed_from = 0
-        """The revision from which on every change has been followed, where the cluster state is loaded."""
+        """The revision from which on every change has been seen, if the cluster state is loaded."""
         self.controllers = 1
-        """How many follow: they share the requests."""
+        """The number of controllers that follow and share the request budget."""
         self.loaded = False
+        """All records and the changes since have been read."""
         self._paged = False
+        """All pages under `start` have been read."""
         self.read_us = -(10**15)
-        """When the last round that succeeded began."""
+        """When the last successful round began."""
         self.failed_since_us: int | None = None
         self._waiters: list[Signal] = []
-        self._kick = Signal()
-        self._hurry = False
-        """Somebody who is in a hurry waits for the next round: it is not put off."""
+        self._wake_signal = Signal()
+        self._urgent = False
+        """A caller waits for the next round and needs it at once."""
 
     def run(self) -> Fiber[None]:
-        """Read what has changed, again and again; a round ends the waits that began before it."""
+        """Run rounds for ever; each round wakes the callers that began to wait before it."""
         while True:
             waiters, self._waiters = self._waiters, []
-            self._hurry = False
+            self._urgent = False
             began_us = self.kernel.now_us
-            good = yield from self._round()
-            if good:
+            succeeded = yield from self._round()
+            if succeeded:
                 self.read_us = began_us
                 if self.failed_since_us is not None:
                     self.kernel.log("info", "state service answers again")
@@ -91,13 +95,15 @@
                 self.failed_since_us = began_us
                 self.kernel.log("error", "state service does not answer")
             for signal in waiters:
-                self.kernel.fire(signal, "fresh" if good else "failed")
-            if good:
-                pause_us = int(max(self.controllers / (SHARE * self.store.limits.rps) * SECOND_US, LEAST_US))
-                # One that is behind reads seldomer: what it reads goes before what waits.
-                left_us = pause_us - (self.kernel.now_us - began_us) + min(self.kernel.behind_us, MOST_LATER_US)
-                if left_us > 0 and not self._hurry:
-                    yield Wait(self._kick, left_us)
+                self.kernel.fire(signal, "fresh" if succeeded else "failed")
+            if succeeded:
+                pause_us = int(
+                    max(self.controllers / (FOLLOW_SHARE * self.store.limits.rps) * SECOND_US, MIN_ROUND_US)
+                )
+                # A process that is behind with its inputs polls less often, since each poll delays them further.
+                remaining_us = pause_us - (self.kernel.now_us - began_us) + min(self.kernel.behind_us, MAX_DELAY_US)
+                if remaining_us > 0 and not self._urgent:
+                    yield Wait(self._wake_signal, remaining_us)
             else:
                 yield Sleep(int(self.kernel.rng.uniform(0.2, 0.4) * SECOND_US))
 
@@ -106,7 +112,7 @@
             return False
         reply: Reply = yield from self.store.follow(self.prefix, self.revision)
         if reply.status == 410:
-            # Too far behind: read everything anew.
+            # The state service no longer has the changes since this revision: read everything again.
             self.loaded = self._paged = False
             return (yield from self._round())
         if reply.status != 200:
@@ -118,8 +124,8 @@
                 self.mirror.remove(change["remove"], change["stamp"])
         self.revision = max(self.revision, reply.body["ledger"])
         self.mirror.read(self.revision)
-        # Not before: pages are of different moments, and a job read later than the groups that hold its tasks
-        # would be placed twice.
+        # The cluster state is not loaded before this point.  Pages are read at different revisions, and a job that is
+        # read later than the groups that hold its tasks would be placed twice.
         self.loaded = True
         return True
 
@@ -132,7 +138,8 @@
             reply = yield from self.store.page(self.start, after)
             if reply.status != 200:
                 return False
-            # Pages are read one after the other: following on from the first one's revision mends the rest.
+            # Pages are read at different revisions: following the changes from the first page's revision makes the
+            # records consistent.
             revision = reply.body["ledger"] if revision is None else revision
             for item in reply.body["items"]:
                 self.mirror.put(item["k"], item["value"], item["stamp"])
@@ -144,44 +151,45 @@
         return True
 
     def barrier(self, patient: bool = False) -> Fiber[bool]:
-        """Wait for a round that begins after now; False when it fails.
+        """Wait for a round that begins after this call; return False if it fails or takes longer than 3 s.
 
-        The `patient` wait for the next one's turn, which serves all of them: questions of users are such.
+        A `patient` caller does not cause an early round, but shares the next regular one; users' queries do so.
         """
         return (yield from self._next_round(3 * SECOND_US, patient))
 
-    def look(self) -> Fiber[None]:
-        """See what has changed by now, before a commit.
+    def refresh(self) -> Fiber[None]:
+        """Bring the cluster state up to date before a commit.
 
-        One that conflicts costs all of its changes, a look one request: what is written by several controllers is
-        looked at just before it is written.  When the service does not answer, the commit goes out all the same.
+        A conflict costs all writes of the commit, a refresh only one request.  So the cluster state is refreshed just
+        before a write to records that several controllers write.  If the state service does not answer, the commit is
+        sent all the same.
         """
         if self.failed_since_us is None:
-            yield from self._next_round(LOOK_US, False)
+            yield from self._next_round(REFRESH_TIMEOUT_US, False)
 
     def hurry(self) -> None:
-        """Do not put the next round off."""
-        self._hurry = True
-        self.kernel.fire(self._kick)
+        """Start the next round at once."""
+        self._urgent = True
+        self.kernel.fire(self._wake_signal)
 
-    def _next_round(self, most_us: int, patient: bool) -> Fiber[bool]:
+    def _next_round(self, timeout_us: int, patient: bool) -> Fiber[bool]:
         signal = Signal()
         self._waiters.append(signal)
         if not patient:
             self.hurry()
-        outcome = yield Wait(signal, most_us)
+        outcome = yield Wait(signal, timeout_us)
         return bool(outcome == "fresh")
 
     def commit(
         self, build: Callable[[], Txn | None], changes: int, urgency: Urgency, purpose: str
     ) -> Fiber[bool | None]:
-        """Commit what `build` makes of the cluster state as it is then; on success the cluster state shows it at
-        once.
+        """Commit the transaction that `build` makes from the latest cluster state.
 
-        False: a conflict, a refusal, or the outcome is unknown.  None: there was nothing to commit any more.
+        Returns True on success; the cluster state then shows the writes already.  Returns False after a conflict, a
+        refusal or an unknown outcome, and None if `build` found nothing to commit.
         """
-        look = self.look if urgency in SHARED else None
-        txn, reply = yield from self.store.commit(build, changes, urgency, purpose, look)
+        refresh = self.refresh if urgency in SHARED_URGENCIES else None
+        txn, reply = yield from self.store.commit(build, changes, urgency, purpose, refresh)
         if txn is None:
             return None
         if reply.status != 200:
@@ -191,13 +199,13 @@
         return True
 
     def show(self, puts: Mapping[str, Any], removes: Iterable[str], version: int) -> None:
-        """Show a change of this process at once, unless it has been read already.
+        """Apply this process's own writes to the cluster state at once, unless a round has read them already.
 
-        Its answer may come after the round that read it, and after another's change that was read with it: a record
-        that was removed since would stand in the cluster state for ever.  So would one whose answer comes while
-        the pages are read anew, if it is removed before its page is read: the pages, or the round after them, have
-        the change.
-        What is in no page, such as a final state, is shown all the same.
+        The answer to a write may come after the round that read the write together with a later removal by another
+        controller.  Otherwise the removed record would stay in the cluster state for ever.  Writes that are answered
+        while the pages are being read again are not applied either: their record may be removed before its page is
+        read, and the pages or the round after them contain the writes.  Records outside the pages, such as final
+        states, are always applied.
         """
         if version <= self.revision:
             return
@@ -209,5 +217,5 @@
                 self.mirror.remove(key, version)
 
     def _shows(self, key: str) -> bool:
-        """Whether an own change of a key goes into the mirror at once."""
+        """Whether this process's own write of a key is applied to the mirror at once."""
         return key.startswith(self.prefix) and (self._paged or not key.startswith(self.start))
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -171,10 +171,14 @@
     ),
     "a-low-rate-is-waited-out": (
         "ashtray/store/client.py",
-        "min(self.bucket.wait_us(amount, overdraft), AGAIN_US)",
+        "min(self.bucket.wait_us(amount, overdraft), BUDGET_RECHECK_US)",
         "self.bucket.wait_us(amount, overdraft)",
     ),
-    "no-look-before-a-commit": (FOLLOWER, "look = self.look if urgency in SHARED else None", "look = None"),
+    "no-look-before-a-commit": (
+        FOLLOWER,
+        "refresh = self.refresh if urgency in SHARED_URGENCIES else None",
+        "refresh = None",
+    ),
     "known-jobs-are-written-again": (
         CLUSTER_STATE,
         "return job_id in self.jobs or job_id in self.over",
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 
 from ashtray.kernel import Kernel
 from ashtray.peers.presence import fair_share
-from ashtray.store.client import Bucket, Lane, Urgency
+from ashtray.store.client import Bucket, RateLimiter, Urgency
 from tests.model import SECOND, Model, submission
 
 NEEDS = st.lists(st.one_of(st.just(0.0), st.floats(0, 8), st.floats(0, 90)), min_size=1, max_size=49)
@@ -96,17 +96,17 @@
 
 def test_a_rate_that_was_far_too_low_for_a_moment_is_not_waited_out() -> None:
     kernel = Kernel(random.Random(1))
-    lane = Lane(kernel, Bucket(1e-6, 1.0, 0), 0.0)
-    lane.bucket.level = -1.0
+    limiter = RateLimiter(kernel, Bucket(1e-6, 1.0, 0), 0.0)
+    limiter.bucket.level = -1.0
     done = []
 
     def ask():
-        yield from lane.admit(Urgency.PLACE, 3)
+        yield from limiter.admit(Urgency.PLACE, 3)
         done.append(kernel.now_us)
 
     kernel.spawn(ask())
     kernel.run()
-    lane.bucket.rate = 10.0
+    limiter.bucket.rate = 10.0
     for n in range(1, 20):
         kernel.advance(n * SECOND // 10, 0)
         kernel.run()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -225,9 +225,9 @@
     model.run(4)
     store = model.hosts[0].core.store
     rate = store.changes.bucket.rate
-    store.pinch()
+    store.note_write_throttled()
     assert store.changes.bucket.rate == rate
-    store.pinch()
+    store.note_write_throttled()
     assert store.changes.bucket.rate < 0.8 * rate
     model.run(5)
     assert store.changes.bucket.rate < 0.8 * rate
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -198,7 +198,7 @@
 
 def test_what_the_former_wrote_last_is_read_after_the_term_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
     # Pictures are two seconds late here, later than a fall is noticed.
-    monkeypatch.setattr("ashtray.store.follower.SHARE", 0.012)
+    monkeypatch.setattr("ashtray.store.follower.FOLLOW_SHARE", 0.012)
     for seed in range(6):
         model = Model(seed, hosts=5)
         model.cloud.lag_us = 8 * SECOND
