--- a/ashtray/standby/__init__.py
+++ b/ashtray/standby/__init__.py
@@ -1,15 +1,16 @@
-"""A standby that is warm: every controller stands by for every other, duty by duty.
+"""Failover of duties between controllers: every controller is a warm standby for every other one.
 
-A *duty* is what one controller should do at a time: place a job, tend a group's workers, hold a share of a limit, run
-the fleet.  Its *owner* is the one that accepted the job, or the live one of the greatest rendezvous weight; the next
-ones by weight are its *heirs*.  The parts:
+A *duty* is work that one controller should do at a time: placing a job, handling the workers of a group, holding a
+share of a limit, or managing the fleet.  Its *owner* is the controller that accepted the job, or the live controller
+of the greatest rendezvous weight; the next ones by weight are its *successors*.  The modules:
 
-- `intents.py`: what an heir follows before anything falls.  What the fleet's runner is about to rent stands in the
-  state service before the cloud hears of it, so an heir goes on where the former stopped.
-- `book.py`: the rest of what a runner knows and needs, which is sense and not truth, rides on the peers' word.
-- `notice.py`: how a fall is noticed before the lease ends.  What it gives is a *suspicion*, and only what is safe
-  with two at it begins on one.
-- `takeover.py`: what is checked before the first decision, each check with its name and its duration.
+- `intents.py`: rental requests are recorded in the state service before the cloud gets them, so a successor of the
+  fleet leader continues where its predecessor stopped.
+- `book.py`: the other knowledge that a fleet leader needs.  It is useful but not essential, and travels with the
+  heartbeats.
+- `failure_detector.py`: detects failed controllers before their lease expires.  Its result is a *suspicion*, which
+  suffices only for duties that two controllers may safely perform at once.
+- `takeover.py`: the checks before the first decision after a takeover, each with a name and the time it took.
 
-`docs/standby.md` weighs the ways and says which figures they gave.
+`docs/standby.md` compares the alternatives and states their measured times.
 """
--- a/ashtray/standby/failure_detector.py
+++ b/ashtray/standby/failure_detector.py
@@ -1,26 +1,26 @@
 """Failure detection: which peers are suspected of having failed before their lease in the state service ends.
 
-The lease of a controller is the only proof that it does nothing more, and what rests on that proof waits for it:
-shares of limits and of budgets. Most of what a controller does is safe while two do it, since placements guard
-versions, workers obey the highest token, and the fleet's lease is replaced under its version. For these a suspicion
-is enough:
+Only the expiry of a controller's lease proves that it has stopped.  Duties that need this proof, such as shares of
+limits and of budgets, wait for the expiry.  Most duties are safe while two controllers perform them, since placements
+guard versions, workers obey the highest token, and the fleet lease is replaced under its version.  For these a
+suspicion is enough:
 
 - A controller *doubts* a peer on its own evidence: a call was refused and no heartbeat came for `REFUSED_INTERVALS`
   intervals, or a call got no answer and none came for `SILENT_INTERVALS`.  A refused connection alone proves
   nothing, since a node without free sockets refuses connections and still sends its own heartbeats.
-- It *suspects* a peer that it doubts and that `CONFIRMATIONS` other live controllers doubt too (all others where
-  they are fewer).  This is the indirect probe of SWIM (Das and others, 2002) with messages that are sent anyway.  A
-  controller that is cut off alone hears of no doubts and suspects nobody.
-- A peer *cannot read* where its own heartbeats say that it has not read the state service for `UNREADABLE_US`,
-  while this controller has.
-
-Doubts travel on the heartbeats, new ones at once to the `DOUBT_RECIPIENTS` best-placed controllers, so that a crash
-is noticed within about one and a half intervals. An accrual detector (Hayashibara and others, 2004) would learn the
-distribution of the intervals, which is known here.
-
-A suspicion ends with the second heartbeat that shows the peer reading the state service. It also ends after
-`MAX_SUSPICION_US` if the peer has held its lease all that time: it is cut off from its peers alone, and is not
-suspected again until a heartbeat of it has come.
+- It *suspects* a peer that it doubts and that `CONFIRMATIONS` other live controllers doubt too (all others if there
+  are fewer).  This is the indirect probe of SWIM (Das and others, 2002) with messages that are sent anyway.  A
+  controller that is isolated from all others hears of no doubts and suspects nobody.
+- A peer *cannot read* if its own heartbeats say that it has not read the state service for `UNREADABLE_US`, while
+  this controller has.
+
+Doubts travel with the heartbeats.  A new doubt is sent at once to the `DOUBT_RECIPIENTS` controllers that come first
+among the successors of the doubted one, so that a crash is noticed within about one and a half intervals.  An accrual
+detector (Hayashibara and others, 2004) would learn the distribution of the intervals, which is known here.
+
+A suspicion ends with the second heartbeat that shows the peer reading the state service.  It also ends after
+`MAX_SUSPICION_US` if the peer has held its lease all that time: then the peer is only cut off from other controllers,
+and is not suspected again until it has sent a heartbeat.
 """
 
 from __future__ import annotations
@@ -41,18 +41,19 @@
 DOUBT_RECIPIENTS = 4
 """Controllers that are told of a new doubt at once."""
 DOUBT_LIFETIME_US = 4 * SECOND_US
-"""Another controller's doubt counts for so long."""
+"""How long another controller's doubt counts after the heartbeat that stated it."""
 NEVER_US = 1 << 62
+"""A time that is never reached."""
 RECOVERY_HEARTBEATS = 2
 """Heartbeats from a peer that reads the state service which end a suspicion."""
 MAX_SUSPICION_US = 12 * SECOND_US
 """The longest suspicion of a peer that holds its lease."""
 UNREADABLE_US = 2_500_000
-"""A controller that has not read the state service for so long can decide nothing."""
+"""A controller that has not read the state service for this long cannot decide anything."""
 OWN_READ_US = 1_500_000
-"""This controller's own last read may be so old when it judges that others cannot read."""
+"""The largest age of this controller's own last read at which it may conclude that others cannot read."""
 PLAUSIBLE_AGE_US = 3600 * SECOND_US
-"""A heartbeat that states an older read is that of a controller which has never read."""
+"""A heartbeat that states an older read comes from a controller that has never read the state service."""
 
 
 @dataclass
@@ -60,9 +61,9 @@
     """What is known of one peer."""
 
     heartbeat_us: int
-    """When its last heartbeat came, or since when one has been waited for."""
+    """When its last heartbeat came; 0: none has come."""
     heard: bool = False
-    """A heartbeat has come since the peer was last suspected: without one it cannot be suspected anew."""
+    """A heartbeat has come since the peer was last suspected; without one it cannot be suspected again."""
     refused: bool = False
     """The last call to it was refused."""
     unanswered: bool = False
@@ -73,17 +74,17 @@
     """When that heartbeat came; 0: never."""
     suspected_since_us: int | None = None
     lease_since_us: int | None = None
-    """Since when it has held a lease, as far as this controller has seen."""
+    """Since when this controller has seen it hold a lease."""
     recovered: int = 0
-    """Heartbeats since it was suspected that show it reading the state service."""
+    """The number of heartbeats since it was suspected that show it reading the state service."""
     doubted_by: dict[str, int] = field(default_factory=dict)
-    """The controllers that doubt it, and when each was last heard to."""
+    """The controllers that doubt it, and when each last said so."""
 
 
 class FailureDetector:
-    """Decides which peers are doubted and suspected.
+    """Decides which peers are doubted and which are suspected.
 
-    It is a pure state machine: the time is passed in, in microseconds, and it sends nothing.
+    It is a pure state machine: times are passed in, in microseconds, and it sends no messages.
     """
 
     def __init__(self, hosts: Iterable[str], heartbeat_interval_us: int) -> None:
@@ -91,12 +92,12 @@
         self.peers = {host: PeerEvidence(0) for host in sorted(hosts)}
         self._unavailable: frozenset[str] = frozenset()
         self.suspicions = 0
-        """How often a peer came to be suspected."""
+        """How many suspicions have begun."""
 
     # Evidence
 
     def heartbeat(self, host: str, now_us: int, read_age_us: int, doubts: Iterable[str]) -> None:
-        """Note a heartbeat of a peer: it lives, and names the controllers that it doubts.
+        """Note a heartbeat of a peer, which proves that it runs and names the controllers that it doubts.
 
         `read_age_us` is how old its last read of the state service is.  Unknown hosts are ignored.
         """
@@ -137,14 +138,17 @@
     def doubts(self, now_us: int, awake_us: int) -> list[str]:
         """The peers that this controller doubts on its own evidence.
 
-        `awake_us` is when this process last resumed after standing still.
+        `awake_us` is when this process last resumed after a pause.
         """
         return [host for host in self.peers if self.until_doubt_us(host, now_us, awake_us) == 0]
 
     def until_doubt_us(self, host: str, now_us: int, awake_us: int) -> int:
-        """How long until a peer is doubted if calls to it go on as the last one did; 0 if it is."""
+        """Return the time until a peer is doubted if calls to it keep ending as the last one did.
+
+        0 means that it is doubted now, `NEVER_US` that no call to it has failed since its last heartbeat.
+        """
         peer = self.peers[host]
-        # Heartbeats that came while this process stood still have not been read yet.
+        # Heartbeats that came while this process was paused have not been read yet.
         quiet_us = now_us - max(peer.heartbeat_us, awake_us)
         if peer.refused:
             return max(int(REFUSED_INTERVALS * self.heartbeat_interval_us) + REFUSED_SLACK_US - quiet_us, 0)
@@ -153,7 +157,7 @@
         return NEVER_US
 
     def peers_to_probe(self, now_us: int) -> list[str]:
-        """Peers that others doubt and of which no call of this controller has told anything."""
+        """Return the peers that others doubt and of which this controller has no evidence of its own."""
         since_us = now_us - DOUBT_LIFETIME_US
         return [
             host
@@ -162,9 +166,10 @@
         ]
 
     def evaluate(self, now_us: int, awake_us: int, live: list[str], own_read_age_us: int) -> frozenset[str]:
-        """Decide which peers are away: suspected, or unable to read the state service.
+        """Return the peers that are unavailable: suspected, or unable to read the state service.
 
         `live` names the controllers that hold a lease; `own_read_age_us` is the age of this controller's last read.
+        The result is the same object as before if it is equal.
         """
         unavailable = set()
         for host, peer in self.peers.items():
@@ -180,7 +185,7 @@
         return self._unavailable
 
     def _follow_lease(self, peer: PeerEvidence, holds_lease: bool, now_us: int) -> None:
-        """End the suspicion of a peer that has held its lease for too long since."""
+        """End the suspicion of a peer that has held its lease for `MAX_SUSPICION_US` since it was suspected."""
         if not holds_lease:
             peer.lease_since_us = None
         elif peer.lease_since_us is None:
@@ -214,5 +219,5 @@
 
     @property
     def away(self) -> frozenset[str]:
-        """The peers that were away when last judged."""
+        """The peers that were unavailable at the last evaluation."""
         return self._unavailable
--- a/ashtray/standby/takeover.py
+++ b/ashtray/standby/takeover.py
@@ -1,7 +1,7 @@
-"""What is checked before the first decision of a duty that was taken over: one small state machine.
+"""The checks before the first decision after the takeover of a duty: a small state machine.
 
-Each check has a name, a reason and, once passed, the time that it took.  No first decision misses one: the duty's
-owner asks `ready` before each decision, and a halt or a lost term sets all of them back.
+Each check has a name, a reason and, once it has passed, a duration.  The owner of the duty calls `ready` before each
+decision, so that no check is skipped.  A pause of the process or the loss of the term resets all checks.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 class Check(Enum):
-    """The checks, in the order in which they are made, with the reason for each."""
+    """The checks, each with its reason."""
 
-    TERM = "the duty's key is this controller's, under a lease that is surely there"
-    READ = "the cluster state was read after the duty was taken: what the former committed last is in it"
-    AWAKE = "this process has not stood still since: it would decide on what is past"
-    INTENTS = "what the former had written down to rent is repeated under its names, so nothing is rented twice"
-    LIST = "the cloud's list was read since: it shows what nobody wrote down"
+    TERM = "this controller owns the key of the duty, under a lease that is certain to be held"
+    READ = "the cluster state was read after the takeover, so it has the last commits of the predecessor"
+    AWAKE = "this process has not been paused since the takeover, so its data is not outdated"
+    INTENTS = "the predecessor's open rental requests were repeated under their names, so nothing is rented twice"
+    LIST = "the cloud's list was read after the takeover: it shows machines without a recorded intent"
 
 
 @dataclass
 class Takeover:
-    """The taking of one duty under one term."""
+    """The state of the takeover of one duty under one term."""
 
     began_us: int
     passed: dict[Check, int] = field(default_factory=dict)
-    """For each check that is passed, when."""
+    """When each passed check passed, in microseconds."""
     decided: bool = False
-    """The first decision was made."""
+    """Whether the first decision has been made."""
 
     def ok(self, check: Check, now_us: int) -> None:
-        """A check has passed; the first time counts."""
+        """Note that a check has passed; only the first time is kept."""
         self.passed.setdefault(check, now_us)
 
     def missing(self, check: Check) -> bool:
@@ -45,12 +45,12 @@
         return all(check in self.passed for check in Check)
 
     def again(self, now_us: int) -> None:
-        """The process stood still: all that was checked is past."""
+        """Reset all checks, because the process was paused or the term was lost."""
         self.began_us = now_us
         self.passed.clear()
 
     def stages(self) -> str:
-        """How long each check took, for the log."""
+        """Return the duration of each check in seconds, for the log."""
         parts, last = [], self.began_us
         for check, at_us in sorted(self.passed.items(), key=lambda entry: entry[1]):
             parts.append(f"{check.name.lower()} {(at_us - last) / SECOND_US:.2f}")
