--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -381,34 +381,28 @@
     "excess-of-the-plan": [
         "tests/test_guarantees.py::test_what_ended_by_itself_since_the_plan_is_counted_at_the_commit"
     ],
-    "rented-without-a-record": ["tests/test_standby.py::test_a_runner_that_ends_at_any_point_rents_nothing_twice"],
-    "heir-does-not-ask-again": ["tests/test_standby.py::test_a_runner_that_ends_at_any_point_rents_nothing_twice"],
-    "heir-forgets-what-is-coming": ["tests/test_standby.py::test_an_heir_counts_what_is_coming_and_not_listed_yet"],
-    "rents-without-the-term": [
-        "tests/test_standby.py::test_one_relieved_while_it_stood_still_writes_nothing_down_any_more"
-    ],
-    "read-before-the-term": [
-        "tests/test_standby.py::test_what_the_former_wrote_last_is_read_after_the_term_was_taken"
-    ],
-    "suspected-alone": ["tests/test_standby.py::test_nobody_is_suspected_without_own_evidence_and_that_of_others"],
-    "suspected-for-ever": ["tests/test_standby.py::test_nobody_is_suspected_without_own_evidence_and_that_of_others"],
-    "a-halt-is-silence": ["tests/test_standby.py::test_what_it_did_not_hear_while_it_stood_still_is_no_evidence"],
-    "what-was-heard-is-taken-back": [
-        "tests/test_returns.py::test_a_controller_that_is_back_at_once_condemns_no_machine"
-    ],
+    "rented-without-a-record": ["tests/test_standby.py::test_a_leader_crash_at_any_point_rents_nothing_twice"],
+    "heir-does-not-ask-again": ["tests/test_standby.py::test_a_leader_crash_at_any_point_rents_nothing_twice"],
+    "heir-forgets-what-is-coming": [
+        "tests/test_standby.py::test_a_successor_counts_rented_machines_that_are_not_listed_yet"
+    ],
+    "rents-without-the-term": ["tests/test_standby.py::test_a_leader_replaced_while_paused_records_no_intent"],
+    "read-before-the-term": ["tests/test_standby.py::test_a_successor_reads_the_last_intent_after_taking_the_term"],
+    "suspected-alone": ["tests/test_standby.py::test_a_suspicion_needs_own_evidence_and_that_of_others"],
+    "suspected-for-ever": ["tests/test_standby.py::test_a_suspicion_needs_own_evidence_and_that_of_others"],
+    "a-halt-is-silence": ["tests/test_standby.py::test_silence_during_an_own_pause_is_no_evidence"],
+    "what-was-heard-is-taken-back": ["tests/test_returns.py::test_a_quick_restart_deletes_no_healthy_machine"],
     "changes-in-proportion": [
-        "tests/test_budget.py::test_one_that_starts_among_busy_ones_has_its_part_after_some_seconds"
+        "tests/test_budget.py::test_a_controller_that_starts_among_busy_ones_gets_its_share_in_seconds"
     ],
     "a-low-rate-is-waited-out": [
-        "tests/test_budget.py::test_a_rate_that_was_far_too_low_for_a_moment_is_not_waited_out"
-    ],
-    "no-look-before-a-commit": [
-        "tests/test_budget.py::test_a_commit_looks_at_what_has_changed_just_before_it_is_written"
+        "tests/test_budget.py::test_a_request_does_not_wait_out_a_rate_that_was_too_low_for_a_moment"
     ],
+    "no-look-before-a-commit": ["tests/test_budget.py::test_the_cluster_state_is_refreshed_just_before_a_commit"],
     "known-jobs-are-written-again": [
-        "tests/test_budget.py::test_a_job_sent_again_to_another_controller_costs_no_change"
+        "tests/test_budget.py::test_a_resubmission_to_another_controller_costs_no_write"
     ],
-    "a-lease-for-each-try": ["tests/test_returns.py::test_a_sign_in_that_fails_opens_no_new_lease_each_time"],
+    "a-lease-for-each-try": ["tests/test_returns.py::test_failed_sign_ins_use_the_same_lease"],
     "rows-of-other-tables": [
         "tests/test_formats.py::test_a_row_that_looks_the_same_is_read_anew_when_what_it_points_into_is_not"
     ],
@@ -416,13 +410,13 @@
         "tests/test_formats.py::test_a_lean_record_that_is_written_and_read_by_what_changed_says_the_same"
     ],
     "tables-grow-for-ever": ["tests/test_record_tables.py"],
-    "an-address-in-use-ends-it": ["tests/test_returns.py::test_an_address_that_is_still_in_use_is_waited_for"],
+    "an-address-in-use-ends-it": ["tests/test_returns.py::test_a_start_waits_for_an_address_in_use"],
     "floor-counts-from-nought": ["tests/test_floor.py::test_after_a_start_the_rule_rests_until_there_is_evidence"],
     "floor-owes-all": ["tests/test_floor.py"],
     "floor-is-stopped": ["tests/test_floor.py::test_what_the_floor_placed_is_not_stopped_for_what_is_too_late"],
     "floor-before-what-is-in-time": ["tests/test_floor.py"],
     "one-known-ends-all": [
-        "tests/test_recovery.py::test_a_crowd_shares_transactions_and_one_that_is_known_holds_up_nobody"
+        "tests/test_recovery.py::test_many_submissions_share_transactions_and_a_known_job_delays_none"
     ],
     "failures-teach": ["tests/test_estimates.py::test_only_what_ran_whole_says_how_long_a_task_takes"],
     "eras-are-added": ["tests/test_estimates.py"],
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,6 +1,6 @@
-"""After all controllers have ended together: what it costs until what is urgent has its place.
+"""A restart of all controllers at once: what it costs until an urgent job is placed.
 
-Counted in requests and changes, without a clock: see `docs/distance.md`, "After a fall".
+The cost is counted in requests and writes to the state service, not in time: see `docs/distance.md`, "After a fall".
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from tests.model import SECOND, Model, UserJob, submission
 
 HOSTS = 5
-CHANGES, GROUP_CHANGES = 5 * HOSTS, 2
-"""The bound of a start of all controllers, up to the first urgent place, and what each group adds to it."""
-REQUESTS = 60 * HOSTS
-GROUP = 4
+MAX_WRITES, MAX_WRITES_PER_GROUP = 5 * HOSTS, 2
+"""The most writes from a start of all controllers to the first urgent placement, and what each group adds to them."""
+MAX_REQUESTS = 60 * HOSTS
+GROUP_SIZE = 4
 
 
 @dataclass
 class Cost:
-    changes: int
+    writes: int
     requests: int
     groups: int
     seconds: float
 
 
-def fall(machines: int, idle: int, seed: int = 1) -> Cost:
-    """A fleet full of idle work; all controllers end; an urgent gang is submitted meanwhile."""
-    model = Model(seed, hosts=HOSTS, knobs=OperatorSettings(group_size=GROUP))
+def restart_all(machines: int, idle: int, seed: int = 1) -> Cost:
+    """Fill a fleet with idle work, crash all controllers and submit an urgent gang; return the cost of placing it."""
+    model = Model(seed, hosts=HOSTS, knobs=OperatorSettings(group_size=GROUP_SIZE))
     model.cloud.capacity = machines
     model._run_us = lambda key: 600 * SECOND  # type: ignore[method-assign]
     model.run(3)
@@ -52,24 +52,24 @@
 
 @pytest.mark.parametrize(("machines", "idle"), [(8, 2), (16, 4), (16, 16), (48, 12)])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_fall_costs_no_more_than_its_bound(machines: int, idle: int, seed: int) -> None:
-    # The bound knows nothing of idle work, and grows with the groups, that is, linearly with machines.
-    cost = fall(machines, idle, seed)
-    assert cost.changes <= CHANGES + GROUP_CHANGES * cost.groups
-    assert cost.requests <= REQUESTS
+def test_a_restart_of_all_controllers_stays_within_its_bound(machines: int, idle: int, seed: int) -> None:
+    # The bound does not depend on idle work, and grows with the groups, that is, linearly with the machines.
+    cost = restart_all(machines, idle, seed)
+    assert cost.writes <= MAX_WRITES + MAX_WRITES_PER_GROUP * cost.groups
+    assert cost.requests <= MAX_REQUESTS
 
 
-def test_a_crowd_shares_transactions_and_one_that_is_known_holds_up_nobody() -> None:
+def test_many_submissions_share_transactions_and_a_known_job_delays_none() -> None:
     model = Model(4)
     model.run(3)
-    # Its user asks nobody meanwhile: a controller that is made to forget a job would answer 404.
+    # The user does not poll: a controller that the test makes forget a job would answer 404.
     model._poll = lambda job_id: None  # type: ignore[method-assign]
     before = model.state.revision
     model.submit(submission("job-7", crew="free"))
     model.run(2)
     host = model.hosts[0]
     core = host.core
-    # This controller does not know yet what another one has accepted.
+    # Make this controller forget a job that another one has accepted.
     core.cluster_state.remove("ashtray/now/job/job-7", model.state.revision)
     core.follower.revision = before
     answers: dict[str, int] = {}
@@ -86,12 +86,12 @@
     sent = core.store.counts["accept good"] + core.store.counts["accept conflicted"] - sent
     assert [name for name, status in answers.items() if status == 200] == ["job-7", "job-3 again"]
     assert all(status in (200, 201) for status in answers.values())
-    # Four go at once, with one job each; the rest by as many as a transaction takes, and once more after a conflict.
+    # The first four transactions take one job each, the others as many as fit; a conflict repeats a transaction.
     assert sent <= 4 + 4 + 2
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_crowd_after_all_have_ended_is_not_answered_by_a_storm_of_refused_changes(seed: int) -> None:
+def test_many_submissions_after_a_restart_of_all_cause_few_throttled_requests(seed: int) -> None:
     model = Model(seed, hosts=HOSTS)
     model.cloud.capacity = 40
     model.state.write_rps = 60.0
@@ -106,6 +106,6 @@
         model.at((n - 100) * SECOND // 200, lambda n=n: model.submit(submission(f"job-{n}", crew="free", pieces=2)))
     model.run(5)
     asked, refused = model.state.asked - asked, model.state.over_rate - refused
-    # A quarter to a third were refused while each began as if it were alone.
+    # If each controller started as if it were alone, a quarter to a third would be refused.
     assert refused <= 0.2 * asked, (refused, asked)
     assert all(job.accepted_us is not None for job in model.jobs.values())
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -1,4 +1,4 @@
-"""Processes that end and are back within a fraction of a second: what the one before left is not the new one's."""
+"""Controllers that restart within a fraction of a second: the new process must not take its predecessor's state."""
 
 import asyncio
 import logging
@@ -22,8 +22,8 @@
 CONTROLLER = "ashtray/now/controller/"
 
 
-def busy(seed: int, hosts: int = HOSTS) -> Model:
-    """A small fleet with gangs, arrays and a limit that binds."""
+def busy_model(seed: int, hosts: int = HOSTS) -> Model:
+    """Return a model of a small fleet that runs gangs and arrays under a team limit that is used up."""
     model = Model(seed, hosts)
     model.checks()
     model.run(3)
@@ -41,8 +41,8 @@
 
 @pytest.mark.parametrize("back_s", [0.02, 0.3])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ten_ends_in_twenty_seconds_lose_nothing_and_leave_no_heap_of_leases(seed: int, back_s: float) -> None:
-    model = busy(seed)
+def test_ten_restarts_in_twenty_seconds_lose_nothing_and_leave_no_unused_leases(seed: int, back_s: float) -> None:
+    model = busy_model(seed)
     most = 0
     for n in range(10):
         for number in range(HOSTS) if n % 3 == 2 else (n % HOSTS,):
@@ -52,38 +52,38 @@
         most = max(most, len(model.state.leases))
     finish(model, 120)
     assert all(signed_in(model))
-    # One of its own for each process that began within a lease's life, and those that live.
+    # One lease for each process that started within the life of a lease, and one for each that runs.
     assert most <= HOSTS * (2 + 3)
     model.run(8)
     model.state.expire(model.now)
     assert len(model.state.leases) == HOSTS
-    held = {key: lease for key, (_, _, lease) in model.state.keys.items() if key.startswith(CONTROLLER)}
-    assert len(held) == HOSTS and set(held.values()) == set(model.state.leases)
+    presence_leases = {key: lease for key, (_, _, lease) in model.state.keys.items() if key.startswith(CONTROLLER)}
+    assert len(presence_leases) == HOSTS and set(presence_leases.values()) == set(model.state.leases)
 
 
-def test_a_sign_in_that_fails_opens_no_new_lease_each_time() -> None:
-    model = busy(4)
+def test_failed_sign_ins_use_the_same_lease() -> None:
+    model = busy_model(4)
     handle, opened = model.state.handle, []
 
-    def no_changes(now_us, method, path, body):
+    def refuse_writes(now_us, method, path, body):
         if path == "/leases" and method == "POST":
             opened.append(path)
         if path == "/txn":
             return 503, {"error": "trouble"}
         return handle(now_us, method, path, body)
 
-    model.state.handle = no_changes
+    model.state.handle = refuse_writes
     model.crash(0, 0.05)
     model.run(12)
-    # One is used for half of its life: in twelve seconds some four, where each of two tries a second took one.
+    # A lease is used for half of its life: about four in twelve seconds.  A lease for each try would be two a second.
     assert 1 <= len(opened) <= 5
     model.state.handle = handle
     finish(model, 90)
 
 
 @pytest.mark.parametrize("step_s", [0.0, 0.012, 0.03, 0.08, 0.3, 1.0])
-def test_ended_again_in_the_middle_of_each_step_of_the_start(step_s: float) -> None:
-    model = busy(5)
+def test_a_crash_during_each_step_of_a_start(step_s: float) -> None:
+    model = busy_model(5)
     for _ in range(4):
         for number in range(HOSTS):
             model.crash(number, 0.02)
@@ -93,11 +93,11 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_what_the_old_process_sent_comes_in_after_the_new_one_has_signed_in(seed: int) -> None:
-    model = busy(20 + seed)
+def test_late_messages_of_the_old_process_arrive_after_the_new_one_has_signed_in(seed: int) -> None:
+    model = busy_model(20 + seed)
     old = {}
     for n in range(6):
-        # All that it says now, to the state service and to peers, is half a minute late at the most.
+        # All messages that this controller sends now arrive up to half a minute late.
         model.far[n % HOSTS] = (model.now + 2 * SECOND, int((3 + 2 * n) * SECOND))
         model.submit(submission(f"job-{30 + n}", crew="crew", pieces=5))
         model.run(0.8)
@@ -110,8 +110,8 @@
     finish(model, 150)
 
 
-def test_the_runner_that_is_back_within_its_own_term_passes_all_checks() -> None:
-    model = busy(6)
+def test_a_leader_that_restarts_within_its_term_passes_all_checks() -> None:
+    model = busy_model(6)
     number = next(n for n, host in enumerate(model.hosts) if host.core.runner.running)
     term = model.hosts[number].core.runner.lease.term
     model.crash(number, 0.05)
@@ -119,13 +119,13 @@
     core = next(host.core for host in model.hosts if host.core.runner.running)
     assert core.runner.lease.term > term
     assert all(check in core.runner.handover.takeover.passed for check in Check)
-    # The old process's key is not taken for the new one's.
+    # The fleet lease is the new process's, not its predecessor's.
     fleet, _ = core.cluster_state.fleet
     assert fleet["incarnation"] == core.presence.incarnation
 
 
-def test_tokens_of_a_host_rise_over_its_processes() -> None:
-    model = busy(7)
+def test_ownership_tokens_of_a_host_differ_between_its_processes() -> None:
+    model = busy_model(7)
     given_out = set()
     for _ in range(5):
         desk = model.hosts[1].core.desk
@@ -135,23 +135,23 @@
     assert len(given_out) == 15
 
 
-def test_words_of_the_old_process_do_not_make_the_new_one_suspected() -> None:
-    model = busy(8)
+def test_late_heartbeats_of_the_old_process_cause_no_suspicion() -> None:
+    model = busy_model(8)
     for _ in range(4):
-        word = model.hosts[2].core.peers._heartbeat("berth-0")
+        heartbeat = model.hosts[2].core.peers._heartbeat("berth-0")
         model.crash(2, 0.05)
         model.run(1.2)
         host = model.hosts[0]
-        # Its last word was held on its way, and says that it has not read for long.
-        late = {**word, "state_age_us": 30 * SECOND}
+        # The old process's last heartbeat is late and says that it has not read the state service for long.
+        late = {**heartbeat, "state_age_us": 30 * SECOND}
         model.waiting[10**9] = lambda status, body: None
         model.carry_out(host, host.core.peer_request(*model.clock(host), 10**9, "POST", "/peer/word", late))
         model.run(4)
         assert "berth-2" in host.core.presence.able()
 
 
-def test_a_share_of_a_limit_is_used_only_behind_the_new_process_s_own_fence() -> None:
-    model = busy(9)
+def test_a_restarted_controller_uses_a_limit_share_only_after_its_own_fence() -> None:
+    model = busy_model(9)
     model.crash(0, 0.02)
     while not model.hosts[0].core or not model.hosts[0].core.presence.incarnation:
         model.run(0.01)
@@ -181,18 +181,18 @@
     finish(model, 150)
 
 
-def test_an_address_that_is_still_in_use_is_waited_for(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_start_waits_for_an_address_in_use(caplog: pytest.LogCaptureFixture) -> None:
     async def play() -> None:
         daemon = Daemon(settings_for(0, 1), OperatorSettings())
-        held = socket.socket()
-        held.bind(("127.0.0.1", 0))
-        held.listen()
-        port = held.getsockname()[1]
+        listener = socket.socket()
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        port = listener.getsockname()[1]
         listening = asyncio.ensure_future(daemon._listen(asyncio.Protocol, "127.0.0.1", port))
         while not any("in use still" in record.message for record in caplog.records):
             assert not listening.done()
             await asyncio.sleep(0)
-        held.close()
+        listener.close()
         await listening
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.close()
@@ -202,20 +202,21 @@
     asyncio.run(play())
 
 
-def test_a_start_compiles_nothing_but_what_the_build_step_compiles() -> None:
-    # Libraries looked for under the prefix of our own compiled files were compiled anew at each start.
+def test_a_start_compiles_only_files_of_the_package() -> None:
+    # Otherwise libraries are looked up under the prefix of the package's compiled files and compiled at each start.
     command = [sys.executable, "-v", "run.py", "--help"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     lines = [line for line in done.stderr.splitlines() if line.startswith("# code object from ")]
-    # What comes from a compiled file is shown in quotes, with that file's name.
+    # Code from a compiled file is shown in quotes, with that file's name.
     compiled = {line.removeprefix("# code object from ") for line in lines if line.endswith(".py")}
     own = {path for path in compiled if Path(path).is_relative_to(ROOT / "ashtray")}
     assert len(lines) > 200 and sorted(compiled - own) == []
 
 
 @pytest.mark.parametrize("back_s", [0.02, 0.3, 1.0])
-def test_a_controller_that_is_back_at_once_condemns_no_machine(back_s: float) -> None:
-    # It has heard nobody yet, and what the process before it had heard was forgotten with its first word.
+def test_a_quick_restart_deletes_no_healthy_machine(back_s: float) -> None:
+    # The new process has heard no worker yet.  Its first heartbeat must not replace its predecessor's report times.
+    # Otherwise healthy machines count as silent and are deleted.
     model = Model(10, HOSTS)
     model.cloud.capacity = 30
     model._run_us = lambda key: 600 * SECOND  # type: ignore[method-assign]
@@ -223,7 +224,7 @@
     model.run(3)
     for n in range(12):
         model.submit(submission(f"job-{n}", crew="free", pieces=8, expect_s=600.0))
-    # Longer than a machine may be silent.
+    # Run for longer than a machine may be silent.
     model.run(60)
     there = set(model.workers)
     assert len(there) >= 20
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""Several machines that fail: what an heir of the fleet's runner does, and how a fall is noticed."""
+"""Failover of the fleet leader at every point of a rental, and the detection of failed controllers."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 from tests.model import SECOND, Host, Model, submission
 
 MACHINES = 6
-"""What the job of these tests needs."""
+"""The number of machines that the job of these tests needs."""
 POINTS = ["before the intent", "after the intent", "before the request", "after the request", "at the answer"]
 
 
-def need(model: Model) -> None:
-    """A job that needs exactly so many machines, for ever."""
+def submit_job(model: Model) -> None:
+    """Submit a job that needs exactly `MACHINES` machines and never ends."""
     job = submission("job-0", pieces=MACHINES, cpus=4.0, shape="service", crew="free", loaners=False)
     model.submit(job)
 
 
-def rented(model: Model) -> int:
+def rented_machines(model: Model) -> int:
     return sum(len(names) for names in model.cloud.requests.values())
 
 
-def runners(model: Model) -> list[Host]:
+def leaders(model: Model) -> list[Host]:
     return [host for host in model.hosts if host.core is not None and host.core.runner.running]
 
 
-def aim(model: Model, point: str, act: Callable[[Host], None]) -> list[int]:
-    """Do something to the controller that is at that point of renting, the first time that one is."""
+def act_at(model: Model, point: str, act: Callable[[Host], None]) -> list[int]:
+    """Call `act` with the first controller that reaches this point of a rental; the list returned gets the time."""
     send = model.send
-    hits: list[int] = []
+    hit_times: list[int] = []
 
-    def aimed(source: str, call: Call, deliver: Callable[[Reply], None]) -> None:
+    def intercept(source: str, call: Call, deliver: Callable[[Reply], None]) -> None:
         asks = call.method == "POST" and call.path == "/rentals"
         writes = call.path == "/txn" and any(change.get("put") == RENTALS for change in call.body["apply"])
         stage, when = point.split(" the ")
         wanted = writes if when == "intent" else asks
-        if not wanted or hits or source[0] != "c":
+        if not wanted or hit_times or source[0] != "c":
             send(source, call, deliver)
             return
-        hits.append(model.now)
+        hit_times.append(model.now)
         host = model.hosts[int(source[1:])]
         if stage == "before":
-            # It falls, or stands still, with the request in its hands.
+            # The controller crashes or pauses before it sends the request.
             act(host)
             if host.core is not None:
                 model.at(host.halted_until - model.now, lambda: send(source, call, deliver))
@@ -66,11 +66,11 @@
 
             send(source, call, answered)
 
-    model.send = aimed  # type: ignore[method-assign]
-    return hits
+    model.send = intercept  # type: ignore[method-assign]
+    return hit_times
 
 
-def halt(model: Model, seconds: float) -> Callable[[Host], None]:
+def pause_for(model: Model, seconds: float) -> Callable[[Host], None]:
     def act(host: Host) -> None:
         host.halted_until = model.now + int(seconds * SECOND)
 
@@ -79,85 +79,85 @@
 
 @pytest.mark.parametrize("point", POINTS)
 @pytest.mark.parametrize("hosts", [3, 5])
-def test_a_runner_that_ends_at_any_point_rents_nothing_twice(point: str, hosts: int) -> None:
+def test_a_leader_crash_at_any_point_rents_nothing_twice(point: str, hosts: int) -> None:
     model = Model(11, hosts=hosts)
     model.checks()
     model.run(8)
-    hits = aim(model, point, lambda host: model.crash(host.number, 30))
-    need(model)
+    hit_times = act_at(model, point, lambda host: model.crash(host.number, 30))
+    submit_job(model)
     model.run(30)
-    assert hits and len(runners(model)) == 1
-    assert rented(model) == MACHINES
+    assert hit_times and len(leaders(model)) == 1
+    assert rented_machines(model) == MACHINES
     assert len(model.on) == MACHINES
 
 
 @pytest.mark.parametrize("point", POINTS)
 @pytest.mark.parametrize("seconds", [3, 8, 25])
-def test_a_runner_that_stands_still_at_any_point_rents_nothing_twice(point: str, seconds: float) -> None:
+def test_a_pause_of_the_leader_at_any_point_rents_nothing_twice(point: str, seconds: float) -> None:
     model = Model(12, hosts=5)
     model.checks()
     model.run(8)
-    hits = aim(model, point, halt(model, seconds))
-    need(model)
+    hit_times = act_at(model, point, pause_for(model, seconds))
+    submit_job(model)
     model.run(seconds + 25)
-    assert hits and len(runners(model)) == 1
-    assert rented(model) == MACHINES
+    assert hit_times and len(leaders(model)) == 1
+    assert rented_machines(model) == MACHINES
     assert len(model.on) == MACHINES
 
 
 @pytest.mark.parametrize("second", POINTS[2:])
-def test_the_heir_ends_too(second: str) -> None:
+def test_the_successor_crashes_too(second: str) -> None:
     model = Model(13, hosts=5)
     model.checks()
     model.run(8)
 
-    def fall(host: Host) -> None:
+    def crash_leader(host: Host) -> None:
         model.crash(host.number, 40)
-        aim(model, second, lambda heir: model.crash(heir.number, 40))
+        act_at(model, second, lambda successor: model.crash(successor.number, 40))
 
-    aim(model, "before the request", fall)
-    need(model)
+    act_at(model, "before the request", crash_leader)
+    submit_job(model)
     model.run(40)
-    assert rented(model) == MACHINES and len(model.on) == MACHINES
+    assert rented_machines(model) == MACHINES and len(model.on) == MACHINES
     assert sum(host.core is None for host in model.hosts) == 2
 
 
-def test_first_decision_after_a_fall() -> None:
-    """From a runner's end to the first rental, in the model's time: over all, not once."""
+def test_time_from_a_leader_crash_to_the_first_rental() -> None:
+    """The median and the longest time over several seeds, in the model's time."""
     waits = []
     for seed in range(8):
         model = Model(seed, hosts=5)
         model.checks()
         model.run(12)
-        (runner,) = runners(model)
-        model.crash(runner.number, 60)
-        began = model.now
-        need(model)
+        (leader,) = leaders(model)
+        model.crash(leader.number, 60)
+        began_us = model.now
+        submit_job(model)
         while not model.cloud.requests:
             model.run(0.1)
-            assert model.now - began < 20 * SECOND
-        waits.append((model.now - began) / SECOND)
+            assert model.now - began_us < 20 * SECOND
+        waits.append((model.now - began_us) / SECOND)
     waits.sort()
     assert waits[len(waits) // 2] <= 4.0
     assert waits[-1] <= 8.0
 
 
 @pytest.mark.parametrize("record", [{"by": 3}, ["x"], {"by": "berth-9", "open": [["r-1"]]}])
-def test_a_record_that_cannot_be_read_delays_and_stops_nobody(record: object) -> None:
+def test_a_malformed_intents_record_stops_no_leader(record: object) -> None:
     model = Model(14)
     model.checks()
     model.run(8)
     model.state.revision += 1
     model.state.keys[RENTALS] = (record, model.state.revision, None)
     model.state.log.append((model.state.revision, RENTALS, (record,)))
-    (runner,) = runners(model)
-    model.crash(runner.number, 30)
-    need(model)
+    (leader,) = leaders(model)
+    model.crash(leader.number, 30)
+    submit_job(model)
     model.run(40)
-    assert rented(model) == MACHINES and len(model.on) == MACHINES
+    assert rented_machines(model) == MACHINES and len(model.on) == MACHINES
 
 
-def test_while_an_older_version_may_run_the_fleet_an_heir_waits_for_the_list() -> None:
+def test_a_successor_waits_for_the_cloud_list_while_an_older_version_may_lead() -> None:
     model = Model(15)
     model.checks()
     model.run(8)
@@ -167,37 +167,37 @@
         for seen in host.core.cluster_state.controllers.values():
             seen["form"] = 1
     model.state.keys.pop(RENTALS, None)
-    need(model)
+    submit_job(model)
     model.run(12)
-    (runner,) = runners(model)
-    model.crash(runner.number, 60)
+    (leader,) = leaders(model)
+    model.crash(leader.number, 60)
     model.submit(submission("job-1", pieces=2, cpus=4.0, shape="service", crew="free", loaners=False))
-    began = model.now
-    while rented(model) == MACHINES:
+    began_us = model.now
+    while rented_machines(model) == MACHINES:
         model.run(0.2)
-        assert model.now - began < 40 * SECOND
-    assert model.now - began > 9 * SECOND
+        assert model.now - began_us < 40 * SECOND
+    assert model.now - began_us > 9 * SECOND
 
 
-def test_an_heir_counts_what_is_coming_and_not_listed_yet() -> None:
-    # The second batch's record names the machines of the first, which the list does not show for a while.
+def test_a_successor_counts_rented_machines_that_are_not_listed_yet() -> None:
+    # The second batch's record names the machines of the first one, which the cloud's list does not show yet.
     model = Model(17, hosts=5)
     model.cloud.lag_us = 8 * SECOND
     model.boot_factor = 2.0
     model.checks()
     model.run(8)
-    need(model)
-    while rented(model) < MACHINES:
+    submit_job(model)
+    while rented_machines(model) < MACHINES:
         model.run(0.1)
     model.run(0.7)
-    aim(model, "after the request", lambda host: model.crash(host.number, 40))
+    act_at(model, "after the request", lambda host: model.crash(host.number, 40))
     model.submit(submission("job-1", pieces=1, cpus=4.0, shape="service", crew="free", loaners=False))
     model.run(40)
-    assert rented(model) == MACHINES + 1 and len(model.on) == MACHINES + 1
+    assert rented_machines(model) == MACHINES + 1 and len(model.on) == MACHINES + 1
 
 
-def test_what_the_former_wrote_last_is_read_after_the_term_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Pictures are two seconds late here, later than a fall is noticed.
+def test_a_successor_reads_the_last_intent_after_taking_the_term(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The cluster state is two seconds late here, which is longer than the detection of a crash takes.
     monkeypatch.setattr("ashtray.store.follower.FOLLOW_SHARE", 0.012)
     for seed in range(6):
         model = Model(seed, hosts=5)
@@ -205,74 +205,74 @@
         model.boot_factor = 2.0
         model.checks()
         model.run(15)
-        hits = aim(model, "after the request", lambda host, model=model: model.crash(host.number, 40))
-        need(model)
+        hit_times = act_at(model, "after the request", lambda host, model=model: model.crash(host.number, 40))
+        submit_job(model)
         model.run(40)
-        assert hits and rented(model) == MACHINES
+        assert hit_times and rented_machines(model) == MACHINES
 
 
-def test_one_relieved_while_it_stood_still_writes_nothing_down_any_more() -> None:
+def test_a_leader_replaced_while_paused_records_no_intent() -> None:
     model = Model(18, hosts=5)
     model.checks()
     model.run(8)
-    (former,) = runners(model)
-    aim(model, "before the intent", halt(model, 9))
-    need(model)
+    (predecessor,) = leaders(model)
+    act_at(model, "before the intent", pause_for(model, 9))
+    submit_job(model)
     model.run(2)
-    # Nobody needs it any more when it goes on.
+    # When the paused leader resumes, the job no longer needs machines.
     model.cancel("job-0")
     model.run(30)
-    assert runners(model) and not rented(model)
+    assert leaders(model) and not rented_machines(model)
     record = model.state.keys.get(RENTALS, ({"by": ""},))[0]
-    assert record["by"] != f"berth-{former.number}"
+    assert record["by"] != f"berth-{predecessor.number}"
 
 
-def test_all_fall_in_turns_and_the_fleet_is_run_again_each_time() -> None:
+def test_each_crashed_leader_is_replaced() -> None:
     model = Model(16, hosts=5)
     model.checks()
     model.run(10)
-    need(model)
+    submit_job(model)
     for _ in range(8):
-        for host in runners(model):
+        for host in leaders(model):
             model.crash(host.number, 6)
         model.run(8)
-        assert len(runners(model)) == 1
+        assert len(leaders(model)) == 1
     model.run(10)
-    assert rented(model) == MACHINES and len(model.on) == MACHINES
+    assert rented_machines(model) == MACHINES and len(model.on) == MACHINES
 
 
-def test_one_told_to_end_is_missed_by_nobody() -> None:
+def test_a_leader_that_shuts_down_is_replaced_at_once() -> None:
     model = Model(19, hosts=5)
     model.checks()
     model.run(10)
     for _ in range(5):
-        (runner,) = runners(model)
-        model.carry_out(runner, runner.core.stop(*model.clock(runner)))
+        (leader,) = leaders(model)
+        model.carry_out(leader, leader.core.stop(*model.clock(leader)))
         model.run(0.3)
-        assert runner.core.ended and f"{CONTROLLER}berth-{runner.number}" not in model.state.keys
-        model.crash(runner.number, 4)
+        assert leader.core.ended and f"{CONTROLLER}berth-{leader.number}" not in model.state.keys
+        model.crash(leader.number, 4)
         model.run(1.2)
-        # Before it would even be suspected.
-        assert len(runners(model)) == 1
+        # The time is too short for a suspicion.
+        assert len(leaders(model)) == 1
         model.run(8)
 
 
-# How a fall is noticed
+# Detection of failed controllers
 
 
-def test_one_that_fell_is_suspected_long_before_its_lease_ends() -> None:
+def test_a_crashed_controller_is_suspected_before_its_lease_ends() -> None:
     model = Model(21, hosts=5)
     model.run(10)
     model.crash(2, 60)
     model.run(2.5)
     others = [host for host in model.hosts if host.core is not None]
     assert all("berth-2" not in host.core.presence.able() for host in others)
-    # What must not be done by two at once waits for the lease.
+    # Duties that two controllers must not perform at once wait for the end of the lease.
     assert all("berth-2" in host.core.presence.live() for host in others)
     assert CONTROLLER + "berth-2" in model.state.keys
 
 
-def test_one_that_only_some_cannot_reach_is_not_suspected() -> None:
+def test_a_controller_that_one_peer_cannot_reach_is_not_suspected() -> None:
     model = Model(22, hosts=5)
     model.run(10)
     model.cut("c2", "c0", 8, False)
@@ -281,7 +281,7 @@
         assert all("berth-2" in host.core.presence.able() for host in model.hosts)
 
 
-def test_one_cut_off_from_its_peers_alone_takes_its_duties_back() -> None:
+def test_a_controller_cut_off_only_from_its_peers_takes_its_duties_back() -> None:
     model = Model(23, hosts=5)
     model.run(10)
     for other in (0, 1, 3, 4):
@@ -292,19 +292,19 @@
     assert all("berth-2" in host.core.presence.able() for host in model.hosts)
 
 
-def test_a_runner_that_cannot_read_is_relieved_before_its_lease_ends() -> None:
+def test_a_leader_that_cannot_read_is_replaced_before_its_lease_ends() -> None:
     model = Model(24, hosts=5)
     model.run(10)
-    (runner,) = runners(model)
-    runner.refused_until = model.now + 30 * SECOND
+    (leader,) = leaders(model)
+    leader.refused_until = model.now + 30 * SECOND
     term = model.state.keys[FLEET][1]
     model.run(5)
     assert model.state.keys[FLEET][1] != term
-    assert [host for host in runners(model) if host is not runner]
+    assert [host for host in leaders(model) if host is not leader]
 
 
 def test_healthy_controllers_are_not_suspected() -> None:
-    """With one message in fifty late by seconds, and halts of under a second."""
+    """One message in fifty is late by seconds, and processes pause for less than a second."""
     suspected = 0
     for seed in range(4):
         model = Model(seed, hosts=5)
@@ -318,7 +318,7 @@
     assert suspected == 0
 
 
-def test_what_it_did_not_hear_while_it_stood_still_is_no_evidence() -> None:
+def test_silence_during_an_own_pause_is_no_evidence() -> None:
     detector = FailureDetector(["a", "b"], SECOND)
     detector.heartbeat("a", SECOND, 0, ())
     detector.called("a", False, False)
@@ -326,7 +326,7 @@
     assert detector.doubts(12 * SECOND, 8 * SECOND) == ["a"]
 
 
-def test_takeover_misses_no_check() -> None:
+def test_a_takeover_skips_no_check() -> None:
     takeover = Takeover(0)
     for check in Check:
         assert not takeover.ready()
@@ -345,7 +345,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 3 * SECOND), EVENTS), max_size=60))
-def test_nobody_is_suspected_without_own_evidence_and_that_of_others(
+def test_a_suspicion_needs_own_evidence_and_that_of_others(
     events: list[tuple[int, tuple[str, str, set[str]]]],
 ) -> None:
     detector = FailureDetector(HOSTS, SECOND)
@@ -368,7 +368,7 @@
                 or detector.peers[host].recovered >= RECOVERY_HEARTBEATS
                 or detector.peers[host].suspected_since_us is None
             )
-    # Whoever speaks again is taken back.
+    # A peer that sends heartbeats again is no longer suspected.
     for _ in range(RECOVERY_HEARTBEATS):
         for host in HOSTS:
             detector.heartbeat(host, now, 0, ())
@@ -401,14 +401,14 @@
     assert read.load(msgspec.json.decode(msgspec.json.encode(value)))
     known = {intent.request: intent for intent in batch}
     for request, intent in read.open.items():
-        # Names may be left out, for they can be asked for again; nothing else changes.
+        # Names may be left out, since repeating the request gives them again; nothing else changes.
         assert intent in (known[request], msgspec.structs.replace(known[request], names=None))
-    # What has no answer is the last to go.
+    # The newest intent, without an answer, is dropped last.
     if any(intent.request not in read.open for intent in batch[-1:]):
         assert not read.open
 
 
-def test_a_later_version_of_the_record_is_read_as_far_as_it_is_known() -> None:
+def test_a_newer_intents_record_is_read_without_its_unknown_fields() -> None:
     value = {"by": "berth-1", "all": True, "open": [["r-1", "small", "a", False, 3, 5, None, "more"]], "later": {}}
     intents = Intents()
     assert intents.load(value) and intents.all
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Both versions side by side and on each other's data, pipelines, and limits that fall without notice."""
+"""Upgrades with both versions side by side on the same data, pipelines, and limits lowered without notice."""
 
 import os
 
@@ -13,17 +13,17 @@
 
 SECOND = 1_000_000
 RUNS = int(os.environ.get("ASHTRAY_MODEL_RUNS", "30"))
-FALLS = st.sampled_from([(2.0, 5), (2.0, 6), (1.5, 5), (4.0, 4)])
+LOWER_LIMITS = st.sampled_from([(2.0, 5), (2.0, 6), (1.5, 5), (4.0, 4)])
 PIPELINE = st.lists(
     st.tuples(JOB.filter(lambda job: job["shape"] != "service"), st.sets(st.integers(1, 4), max_size=3)),
     min_size=2,
     max_size=8,
 )
-"""Jobs and, for each, how far before it those that it needs are."""
+"""Jobs and, for each, how many positions before it the jobs are that it waits on."""
 
 
 def pipeline(model: Model, jobs: list[tuple], first: int, at_s: float, pace_s: float) -> None:
-    """A user submits the jobs of a pipeline, each once those that it needs are accepted."""
+    """Submit the jobs of a pipeline, each once the jobs that it waits on are accepted."""
 
     def submit(n: int) -> None:
         spec, back = jobs[n]
@@ -46,7 +46,7 @@
     st.floats(0.1, 8),
     st.lists(st.tuples(st.floats(5, 60), FAULT), max_size=10),
     st.lists(st.tuples(st.floats(8, 70), st.integers(0, 15)), max_size=3),
-    FALLS,
+    LOWER_LIMITS,
     st.floats(3, 60),
 )
 def test_pipelines_keep_every_rule_while_limits_fall(seed, one, other, pace_s, faults, cancels, following, fall_s):
@@ -73,20 +73,23 @@
 
 
 def upgrade(model: Model, order: list[int], every_s: float, crashes: list[tuple[float, int]]) -> float:
-    """Kill the controllers in some order, to come back new; others die before their turn and come back old."""
+    """Restart the controllers with the new version, in some order, after crashes that restart them with the old one.
 
-    def turn(number: int) -> None:
+    Returns the time in seconds at which all are upgraded.
+    """
+
+    def restart_upgraded(number: int) -> None:
         model.hosts[number].old = False
         model.crash(number, 1.5)
 
     for at_s, number in crashes:
         model.at(int(at_s * SECOND), lambda number=number: model.crash(number, 1.5))
     for n, number in enumerate(order):
-        model.at(int((20 + n * every_s) * SECOND), lambda number=number: turn(number))
+        model.at(int((20 + n * every_s) * SECOND), lambda number=number: restart_upgraded(number))
     return 20 + len(order) * every_s + 4
 
 
-# The machine-time of both versions is what this costs: fewer runs than above.
+# These runs execute both versions and are slower, so there are fewer than above.
 @settings(
     max_examples=max(RUNS // 2, 1), phases=[Phase.explicit, Phase.generate], suppress_health_check=list(HealthCheck)
 )
@@ -98,7 +101,7 @@
     st.floats(2, 10),
     st.lists(st.tuples(st.floats(5, 40), st.integers(0, 2)), max_size=3),
     st.lists(st.tuples(st.floats(5, 60), FAULT), max_size=8),
-    st.one_of(FALLS, st.none()),
+    st.one_of(LOWER_LIMITS, st.none()),
     st.floats(4, 30),
 )
 def test_both_versions_serve_side_by_side_until_all_are_new(
@@ -107,11 +110,11 @@
     model = Model(seed, knobs=OperatorSettings(), following=following, before=before)
     begin(model, seed, jobs, 60)
     over_s = upgrade(model, order, every_s, crashes)
-    # What holds a controller back for long would have the new form asked for while an old one is about.
+    # A long pause of a controller would bring in the new form while a controller of the old version still runs.
     strike(model, [(at_s, fault) for at_s, fault in faults if fault[0] not in ("halt",) or at_s < 15])
     pipeline(model, stages, 20, over_s + 12, 0.5)
     if following is not None:
-        # Without limits to come the lean form is written all the same once all are new.
+        # Without lower limits to come, the lean form is still used once all controllers are upgraded.
         model.at(int((over_s + fall_s) * SECOND), model.limits_fall)
     model.run(over_s + 60)
     assert all(not host.old for host in model.hosts)
