--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -324,7 +324,7 @@
         """The writes per second that this controller wants; at first an equal share, since a start needs many."""
 
     def run(self, peer: PeerState) -> Fiber[None]:
-        """Send heartbeats to a peer for ever, and take in its answers."""
+        """Send heartbeats to a peer indefinitely, and take in its answers."""
         kernel = self.base.kernel
         while True:
             asked_us = kernel.now_us
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -79,7 +79,7 @@
         """A caller waits for the next round and needs it at once."""
 
     def run(self) -> Fiber[None]:
-        """Run rounds for ever; each round wakes the callers that began to wait before it."""
+        """Run rounds indefinitely; each round wakes the callers that began to wait before it."""
         while True:
             waiters, self._waiters = self._waiters, []
             self._urgent = False
@@ -100,7 +100,7 @@
                 pause_us = int(
                     max(self.controllers / (FOLLOW_SHARE * self.store.limits.rps) * SECOND_US, MIN_ROUND_US)
                 )
-                # A process that is behind with its inputs polls less often, since each poll delays them further.
+                # A process that is behind polls less often: the changes that it reads go before the waiting inputs.
                 remaining_us = pause_us - (self.kernel.now_us - began_us) + min(self.kernel.behind_us, MAX_DELAY_US)
                 if remaining_us > 0 and not self._urgent:
                     yield Wait(self._wake_signal, remaining_us)
@@ -201,11 +201,11 @@
     def show(self, puts: Mapping[str, Any], removes: Iterable[str], version: int) -> None:
         """Apply this process's own writes to the cluster state at once, unless a round has read them already.
 
-        The answer to a write may come after the round that read the write together with a later removal by another
-        controller.  Otherwise the removed record would stay in the cluster state for ever.  Writes that are answered
-        while the pages are being read again are not applied either: their record may be removed before its page is
-        read, and the pages or the round after them contain the writes.  Records outside the pages, such as final
-        states, are always applied.
+        The answer to a write may come after a round that read the write and a later removal of the record by another
+        controller.  If the write were applied then, the removed record would stay in the cluster state indefinitely.
+        Writes that are answered while the pages are being read again are not applied for the same reason: their
+        record may be removed before its page is read, and the pages or the round after them contain the writes.
+        Records outside the pages, such as final states, are applied at that time too.
         """
         if version <= self.revision:
             return
