--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -1,9 +1,10 @@
-"""Cancelled elsewhere, the owner refused alone, then nobody has the state service for longer than `cancel_s`.
+"""Cancellations that the owner of the workers cannot read, followed by a long outage of the state service.
 
-A worker's owner loses the state service first; another controller confirms cancellations of jobs that run on its
-workers; then the service is down for everybody while the workers keep reporting to the owner.  The tasks must be gone
-within `cancel_s` of the confirmation all the same (`docs/design.md`, point 5), checked to the microsecond here and
-independently of the core.  In the other direction, an outage in which all controllers hear one another ends no task.
+The controller that owns some workers (the owner) loses the state service first; another controller confirms
+cancellations of jobs that run on these workers; then the service is down for all controllers while the workers keep
+reporting to the owner.  The tasks must be gone within `cancel_s` of the confirmation all the same (`docs/design.md`,
+point 5).  The tests check this to the microsecond and independently of the controllers' code.  Conversely, an outage
+in which all controllers hear one another must end no task of a job that was not cancelled.
 """
 
 import pytest
@@ -24,7 +25,7 @@
 
 
 def deploy(seed: int, shape: str = "batch") -> tuple[Model, int]:
-    """A fleet with long tasks on it, and the controller that owns the most of its workers."""
+    """Set up workers with long tasks; return the model and the controller that owns the most workers."""
     model = Model(seed, HOSTS)
     model.checks()
     model._run_us = lambda key: 600 * SECOND
@@ -40,10 +41,10 @@
 
 
 def check_cancellations_exactly(model: Model) -> None:
-    """At the very moment at which a cancellation has to have taken effect, see that it has."""
+    """Check at the moment exactly `cancel_s` after each confirmation that no task is left on a machine that runs."""
     told = model._told
 
-    def check(job_id: str) -> None:
+    def check_gone(job_id: str) -> None:
         left = {task: sorted(set(on) - model.hung) for task, on in model.on.items() if task[0] == job_id}
         if any(left.values()):
             raise RuleBroken(f"ran_cancelled: {left} at the end of cancel_s")
@@ -52,7 +53,7 @@
         known = model.jobs[job_id].cancelled_us
         told(job_id, status)
         if known is None and model.jobs[job_id].cancelled_us is not None:
-            model.at(int(CANCEL_S * SECOND), lambda: check(job_id))
+            model.at(int(CANCEL_S * SECOND), lambda: check_gone(job_id))
 
     model._told = tell
 
@@ -64,8 +65,8 @@
     return [name for name, worker in core.desk.workers.items() if worker.token_confirmed and name in model.workers]
 
 
-def keep_workers(model: Model, number: int) -> None:
-    """The owner's workers go on reporting to it: sending them elsewhere is a hint that may fail."""
+def keep_reporting_to_owner(model: Model, number: int) -> None:
+    """The owner's workers go on reporting to it: redirecting them to another controller is a hint that may fail."""
     desk = model.hosts[number].core.desk
     desk._foreman = lambda worker, report: None
 
@@ -78,7 +79,7 @@
 
 
 def cancel_at(model: Model, job_id: str, number: int) -> None:
-    """A user cancels a job at one controller, until it answers."""
+    """Cancel a job at one controller; repeat the request until it is answered with 200."""
     model.jobs[job_id].cancel_asked = True
 
     def answered(reply) -> None:
@@ -91,7 +92,7 @@
 
 
 def cut_from_peers(model: Model, number: int) -> None:
-    """The other controllers hear nothing of one, nor it of them, for longer than any of these tests."""
+    """Cut one controller off from all its peers for longer than any of these tests takes."""
     for other in range(HOSTS):
         if other != number:
             model.cut(f"c{number}", f"c{other}", 1000, False)
@@ -100,12 +101,12 @@
 def meet(
     model: Model, owner: int, how: str = "503", cancel_after_s: float = 1.0, outage_s: float = 2 * CANCEL_S
 ) -> list[str]:
-    """Refuse the owner, cancel half of the jobs at the others, then take the state service from all.
+    """Let the state service refuse the owner, cancel half of the jobs at the others, then begin an outage for all.
 
-    Returns the cancelled jobs.  That each had tasks on the owner's workers and was confirmed before the outage, while
-    the owner could not read, is asserted.
+    Returns the cancelled jobs.  Asserts that some of them had tasks on the owner's workers, and that the owner read
+    nothing while the cancellations were confirmed.
     """
-    keep_workers(model, owner)
+    keep_reporting_to_owner(model, owner)
     refuse(model, owner, how, cancel_after_s + outage_s + 3)
     model.run(cancel_after_s)
     read_us = model.hosts[owner].core.follower.read_us
@@ -123,7 +124,7 @@
     return cancelled
 
 
-def left_of(model: Model, cancelled: list[str]) -> list[tuple[str, int]]:
+def tasks_left(model: Model, cancelled: list[str]) -> list[tuple[str, int]]:
     return sorted(task for task in model.on if task[0] in cancelled)
 
 
@@ -134,9 +135,9 @@
     model, owner = deploy(3, shape)
     cut_from_peers(model, owner)
     cancelled = meet(model, owner, how, 1.0, outage_s)
-    assert left_of(model, cancelled)
+    assert tasks_left(model, cancelled)
     model.run(CANCEL_S)
-    assert not left_of(model, cancelled)
+    assert not tasks_left(model, cancelled)
     model.run(outage_s + 60)
 
 
@@ -148,11 +149,11 @@
     cancelled = meet(model, owner, how, cancel_after_s)
     sessions = {name: model.workers[name].session for name in workers_of(model, owner)}
     model.run(2 + 2 * REPORT_S)
-    assert sessions and not left_of(model, cancelled)
+    assert sessions and not tasks_left(model, cancelled)
     running = set(model.on)
     assert len(running) == 9
     model.run(2 * CANCEL_S - 10)
-    # No lease has run out, and nothing was ended that nobody had cancelled.
+    # No lease has expired, and no task of a job that was not cancelled has ended.
     assert model.state.down
     assert {name: model.workers[name].session for name in sessions} == sessions
     assert set(model.on) == running
@@ -164,7 +165,7 @@
 def test_a_bound_that_is_longer_breaks_the_rule():
     model, owner = deploy(3)
     cut_from_peers(model, owner)
-    # What the sum keeps in reserve, and the longest time between two reports.
+    # The reserves that the bound contains, plus twice the longest time between two reports.
     spare_us = WORKER_DELAY_US + int(2 * CLOCK_DRIFT * CANCEL_S * SECOND) + 2 * int(1.25 * REPORT_S * SECOND)
     model.hosts[owner].core.renewal.bound_us += spare_us
     meet(model, owner, cancel_after_s=0.0)
@@ -173,27 +174,28 @@
 
 
 def test_one_peer_that_says_nothing_may_have_confirmed_a_cancellation():
-    # The statements of all others do not help where one is missing: that one confirmed them.
+    # If the statement of one peer is missing, those of the others do not help: the missing one has confirmed a
+    # cancellation.
     model, owner = deploy(3)
     silent, third = (owner + 1) % HOSTS, (owner + 2) % HOSTS
     model.cut(f"c{owner}", f"c{silent}", 1000, False)
     model.cut(f"c{silent}", f"c{third}", 1000, False)
-    keep_workers(model, owner)
+    keep_reporting_to_owner(model, owner)
     refuse(model, owner, "503", 200)
     refuse(model, third, "503", 200)
     cancel_at(model, "job-0", silent)
     while model.jobs["job-0"].cancelled_us is None:
         model.run(0.05)
     model.state_outage(2 * CANCEL_S)
-    assert left_of(model, ["job-0"])
+    assert tasks_left(model, ["job-0"])
     model.run(CANCEL_S)
-    assert not left_of(model, ["job-0"])
+    assert not tasks_left(model, ["job-0"])
 
 
 def test_a_task_that_the_controller_never_heard_of_is_ended_as_well():
-    # Accepted, placed and cancelled while the controller could not read; the worker then reports to it.
+    # The job is accepted, placed and cancelled while the controller cannot read; then the worker reports to it.
     model, owner = deploy(3)
-    keep_workers(model, owner)
+    keep_reporting_to_owner(model, owner)
     refuse(model, owner, "503", 1000)
     model.run(1.0)
     spec = submission("job-50", pieces=30, crew="free", hulls=["small"], expect_s=600.0)
@@ -207,23 +209,23 @@
     assert machines and "job-50" not in model.hosts[owner].core.cluster_state.jobs
     cancel_at(model, "job-50", (owner + 1) % HOSTS)
     while model.jobs["job-50"].cancelled_us is None:
-        # Orders that would end its tasks at once are on their way for long, and no report is answered meanwhile.
+        # Delay the orders that would end its tasks at once, and let no report be answered.
         for name in machines:
             model.held_orders[name] = model.now + 100 * SECOND
             model.mute(name, 0.02)
         model.run(0.01)
     model.state_outage(2 * CANCEL_S)
     report_only_to(model, owner)
-    assert left_of(model, ["job-50"])
-    met = []
-    while left_of(model, ["job-50"]):
+    assert tasks_left(model, ["job-50"])
+    seen_by_owner = []
+    while tasks_left(model, ["job-50"]):
         model.run(0.1)
-        met += [name for name in machines if model.hosts[owner].core.desk.workers.get(name)]
-    assert met
+        seen_by_owner += [name for name in machines if model.hosts[owner].core.desk.workers.get(name)]
+    assert seen_by_owner
 
 
 def report_only_to(model: Model, owner: int) -> None:
-    """No worker reaches any other controller."""
+    """Cut all workers off from all controllers but the owner."""
     for number in range(HOSTS):
         if number != owner:
             for name in model.workers:
@@ -236,21 +238,21 @@
     cancelled = meet(model, owner)
     model.crash(owner, 0.3)
     model.run(CANCEL_S)
-    assert not left_of(model, cancelled)
+    assert not tasks_left(model, cancelled)
     model.run(2 * CANCEL_S + 40)
     assert all(model.jobs[job_id].told == "cancelled" for job_id in cancelled)
 
 
-@pytest.mark.parametrize("alone", [False, True])
-def test_an_owner_that_stands_still_between_its_check_and_its_answer(alone):
+@pytest.mark.parametrize("without_peers", [False, True])
+def test_an_owner_that_stands_still_between_its_check_and_its_answer(without_peers):
     model, owner = deploy(3)
-    if alone:
+    if without_peers:
         cut_from_peers(model, owner)
     cancelled = meet(model, owner)
     for n in range(12):
         model.at(n * 3 * SECOND, lambda: setattr(model.hosts[owner], "halts_us", 3 * SECOND))
     model.run(CANCEL_S)
-    assert not left_of(model, cancelled)
+    assert not tasks_left(model, cancelled)
 
 
 @pytest.mark.parametrize("hang_s", [LEASE_S - 1, LEASE_S + 2, CANCEL_S - 2])
@@ -260,31 +262,31 @@
     cancelled = meet(model, owner, cancel_after_s=0.0)
     bound_s = model.hosts[owner].core.renewal.bound_us / SECOND
     hung = sorted({name for (job, _), on in model.on.items() if job in cancelled for name in on})
-    # Renewed at the last moment, then it hangs.
+    # The machines hang after their last renewal, one second before the bound.
     model.run(bound_s - 1)
     model.hung.update(hung)
     model.run(hang_s)
     for name in hung:
         model.wake(name)
     model.run(max(CANCEL_S - bound_s + 1 - hang_s, 0) + 0.5)
-    assert not left_of(model, cancelled)
+    assert not tasks_left(model, cancelled)
 
 
-@pytest.mark.parametrize("taken", [0.2, 1.0])
-def test_workers_that_change_hands_just_before_the_outage(taken):
+@pytest.mark.parametrize("delay_s", [0.2, 1.0])
+def test_workers_that_change_hands_just_before_the_outage(delay_s):
     model, owner = deploy(4)
     refuse(model, owner, "503", 200)
-    model.run(taken)
+    model.run(delay_s)
     model.roaming_until = model.now + int(1.5 * SECOND)
     for n in range(3):
         cancel_at(model, f"job-{n}", (owner + 1 + n % 2) % HOSTS)
     while any(model.jobs[f"job-{n}"].cancelled_us is None for n in range(3)):
         model.run(0.05)
-    before = workers_of(model, owner)
+    workers_before = workers_of(model, owner)
     model.state_outage(2 * CANCEL_S)
     model.run(CANCEL_S)
-    assert before != workers_of(model, owner)
-    assert not left_of(model, ["job-0", "job-1", "job-2"])
+    assert workers_before != workers_of(model, owner)
+    assert not tasks_left(model, ["job-0", "job-1", "job-2"])
 
 
 @settings(
@@ -325,7 +327,7 @@
     model.run(factor * CANCEL_S + CANCEL_S + 30)
 
 
-# The bound and the statements by themselves
+# Unit tests of the bound and of the statements
 
 
 @given(
@@ -342,7 +344,8 @@
     bound_us = renewal_bound_us(times)
     if bound_us < 0:
         return
-    # In true time after what the controller knows: the cancellation is told at 0, the earliest that it may be.
+    # True time since `informed`, up to which the controller knows all cancellations.  The one that it misses is
+    # confirmed at 0, which is the earliest possible time.
     decided = bound_us / (1 + controller * CLOCK_DRIFT)
     sent_at = decided * sent
     lease_ends = sent_at + lease_s * SECOND / (1 + worker * CLOCK_DRIFT)
@@ -361,7 +364,7 @@
     assert guard.informed_us(90, 10) == 10
     guard.stated("c", 60)
     assert guard.informed_us(90, 10) == 40
-    # An answer to an earlier question that comes late takes nothing back.
+    # A late answer to an earlier request does not make the information older.
     guard.stated("b", 30)
     assert guard.informed_us(90, 10) == 40
     assert guard.informed_us(90, 70) == 70
@@ -380,60 +383,60 @@
     assert not log.statement(10, None).complete
     for n in range(MOST_ENTRIES):
         log.note(30 + n, f"job-{n}")
-    # What there was no room for is missing.
+    # The log has dropped its oldest entries, so that a statement that begins before them is not complete.
     assert not log.statement(10, 12).complete
     assert log.statement(10, 20).complete
 
 
-# Starts after a confirmed cancellation
+# No task starts after a confirmed cancellation
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_no_task_starts_once_its_user_was_told_of_the_cancellation(seed):
     model, _ = deploy(seed)
-    # Room, and the image is there: what is launched starts at once.
+    # These cancellations make resources free on machines that have the image, so that later tasks start at once.
     model.cancel("job-0")
     model.cancel("job-1")
     model.run(3)
-    before = model.starts
+    starts_before = model.starts
     for n in range(100, 180):
         model.submit(submission(f"job-{n}", pieces=1, cpus=0.1, crew="free", hulls=["small"], expect_s=60.0))
         model.at((n - 100) * 25_000, lambda n=n: cancel_at(model, f"job-{n}", n % HOSTS))
         model.run(0.15)
     model.run(5)
     told = [model.jobs[f"job-{n}"].cancelled_us for n in range(100, 180)]
-    # Some were started before, and some were cancelled before that.
-    assert all(told) and 10 < model.starts - before < 80
+    # The case is reached: some jobs had started when they were cancelled, and some had not.
+    assert all(told) and 10 < model.starts - starts_before < 80
     assert model.late_starts == []
 
 
 def test_a_statement_counts_from_when_it_was_asked_for(monkeypatch):
     model = Model(3, HOSTS)
-    # Answers between controllers take most of the time that they are waited for.
+    # A message between controllers takes 0.3 s, so that an answer takes most of the sender's timeout.
     path = model._path
     monkeypatch.setattr(model, "_path", lambda a, b: 300_000 if a[0] == b[0] == "c" else path(a, b))
-    made: dict[str, int] = {}
+    made_us_of: dict[str, int] = {}
     counted: list[tuple[int, int]] = []
     for host in model.hosts:
         peers, name = host.core.peers, host.core.settings.host_name
         statement = peers._statement
 
-        def state(beyond, statement=statement, name=name):
-            made[name] = model.now
+        def make_statement(beyond, statement=statement, name=name):
+            made_us_of[name] = model.now
             return statement(beyond)
 
-        monkeypatch.setattr(peers, "_statement", state)
+        monkeypatch.setattr(peers, "_statement", make_statement)
     core = model.hosts[0].core
     stated = core.renewal.stated
 
-    def count(peer, asked_us):
-        counted.append((asked_us - SECOND, made[peer]))
+    def count_statement(peer, asked_us):
+        counted.append((asked_us - SECOND, made_us_of[peer]))
         stated(peer, asked_us)
 
-    monkeypatch.setattr(core.renewal, "stated", count)
+    monkeypatch.setattr(core.renewal, "stated", count_statement)
     model.run(20)
     assert len(counted) > 10
-    # What a peer told between its statement and the arrival of that is not in it.
+    # A statement does not contain what the peer confirmed between making it and its arrival.
     assert all(asked_us < made_us < model.now for asked_us, made_us in counted)
     assert min(made_us - asked_us for asked_us, made_us in counted) >= 300_000
 
@@ -444,15 +447,15 @@
     send = model.send
     lost = []
 
-    def losing(source, call, deliver):
+    def lose_announcements(source, call, deliver):
         if call.path == PATH:
             lost.append(call.body["cancelled"])
             model.at(call.timeout_us, lambda: deliver(Reply(0)))
         else:
             send(source, call, deliver)
 
-    model.send = losing
+    model.send = lose_announcements
     cancelled = meet(model, owner, how)
     model.run(2 + 2 * REPORT_S)
-    assert lost and not left_of(model, cancelled)
+    assert lost and not tasks_left(model, cancelled)
     assert len(model.on) == 9
