--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for the state service, the cloud and the workers, written from their published protocols.
+"""Fakes of the state service, the cloud and the workers, written from their published protocols.
 
-They are plain state machines: a request and the time go in, an answer comes out.  `serve` puts them on loopback.
+They are state machines without I/O: a request and the time go in, an answer comes out.  `serve` serves them over HTTP
+on the loopback interface.
 """
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud."""
+"""A fake of the cloud."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Rented:
-    """A machine that was rented, also after its end."""
+    """A rented machine, kept after its end too."""
 
     name: str
     type: str
@@ -26,7 +26,11 @@
 
 @dataclass
 class Cloud:
-    """A cloud in memory: rents up to `capacity` machines, and lists them as they were `lag_us` ago."""
+    """A cloud in memory: rents up to `capacity` machines, and lists them as they were `lag_us` ago.
+
+    `boot` returns a new machine's boot time (us); `on_delete` is told of each machine that ends; `address` gives the
+    address of a machine's worker.  With `down` every request is answered with 503.
+    """
 
     types: list[dict[str, Any]]
     capacity: int = 12
@@ -44,7 +48,7 @@
         return [m for m in self.machines.values() if m.ended_us is None]
 
     def handle(self, now_us: int, method: str, path: str, body: Any) -> Answer:
-        """The status and the body of the answer to a request."""
+        """Handle a request; return the status and the body of the answer."""
         if self.down:
             return 503, {"error": "trouble"}
         url = urlsplit(path)
@@ -64,7 +68,7 @@
         return 400, {"error": "malformed"}
 
     def end(self, now_us: int, name: str, status: str) -> None:
-        """A machine ends, with the status that the list shows of it from then on."""
+        """End a machine; lists show it with this status from then on."""
         machine = self.machines[name]
         if machine.ended_us is None:
             machine.ended_us = now_us
--- a/tests/fakes/serve.py
+++ b/tests/fakes/serve.py
@@ -1,4 +1,4 @@
-"""The stand-ins on loopback, for tests of the real daemon and for trying ashtray out.
+"""Serve the fakes on the loopback interface, for tests of the real daemon and for trying ashtray out.
 
     python -m tests.fakes.serve --dir DIR [--controllers N] [--port PORT]
 
@@ -76,7 +76,7 @@
 
 
 class Stage:
-    """Everything around the controllers."""
+    """The services around the controllers: a state service, a cloud and the workers on its machines."""
 
     def __init__(self, directory: Path, controllers: int, port: int, run_s: float = 1.0) -> None:
         self.directory = directory
@@ -115,13 +115,13 @@
         return files
 
     async def start(self) -> None:
-        """Listen as the state service and as the cloud."""
+        """Start to serve the state service and the cloud."""
         self.client = aiohttp.ClientSession()
         await self._serve(self.port, self.state.handle)
         await self._serve(self.port + 1, self.cloud.handle)
 
     async def stop(self) -> None:
-        """End all workers."""
+        """End all workers and close the connections to the controllers."""
         for task in self.tasks:
             task.cancel()
         await self.client.close()
@@ -155,7 +155,10 @@
         self.workers.pop(name, None)
 
     def _describe(self, job: str) -> dict[str, Any] | None:
-        """Workers get a job's description from its users; here it is read back from the state service."""
+        """What a worker knows of a job: read from its record in the state service, and kept after the record is gone.
+
+        Real workers get it from the users.
+        """
         found = self.state.keys.get(f"ashtray/now/job/{job}")
         if found is not None:
             spec = found[0]["spec"]
@@ -245,10 +248,10 @@
 
 
 if __name__ == "__main__":
-    options = argparse.ArgumentParser(description="Serve stand-ins for a state service, a cloud and its workers.")
+    options = argparse.ArgumentParser(description="Serve fakes of a state service, a cloud and its workers.")
     options.add_argument("--dir", required=True, help="where the settings files are written")
     options.add_argument("--controllers", type=int, default=1)
-    options.add_argument("--port", type=int, default=28000, help="the first of the ports used")
+    options.add_argument("--port", type=int, default=28000, help="the first of the ports to use")
     options.add_argument("--run-s", type=float, default=5.0, help="how long a task runs")
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_main(options.parse_args()))
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -1,4 +1,4 @@
-"""A stand-in for the state service."""
+"""A fake of the state service."""
 
 from __future__ import annotations
 
@@ -12,27 +12,30 @@
 
 
 class State:
-    """A state service in memory."""
+    """A state service in memory: keys with revisions, transactions, leases, and a log of writes to follow."""
 
     def __init__(self, value_kb: float = 32.0, txn_ops: int = 16) -> None:
         self.value_kb = value_kb
         self.txn_ops = txn_ops
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        """The value, the revision and the lease of each key."""
         self.log: list[tuple[int, str, Any]] = []
+        """The revision, the key and the value of each write; the value is in a tuple, or None for a removal."""
         self.revision = 1
         self.leases: dict[int, tuple[int, int]] = {}
+        """The length and the expiry of each lease (us)."""
         self.next_lease = 1
         self.down = False
         self.refused: list[str] = []
-        """The transactions that were too large."""
+        """A description of each transaction that was refused as too large."""
         self.write_rps: float | None = None
-        """Puts and deletes a second, with one second's worth at once; None: as many as come."""
+        """The write rate limit (puts and deletes a second; bursts of up to one second's worth); None: no limit."""
         self._level, self._level_us = 0.0, -1
         self.asked = self.over_rate = 0
-        """Changes that were asked for, and those of them that were refused for the rate."""
+        """Writes that were requested, and those of them that the rate limit refused."""
 
     def handle(self, now_us: int, method: str, path: str, body: Any) -> Answer:
-        """The status and the body of the answer to a request."""
+        """Handle a request; return the status and the body of the answer."""
         if self.down:
             return 503, {"error": "trouble"}
         self.expire(now_us)
@@ -70,7 +73,7 @@
         return False
 
     def expire(self, now_us: int) -> None:
-        """Remove the leases that have run out, and the keys under them."""
+        """Remove the expired leases and the keys that are bound to them."""
         for lease in [n for n, (_, until_us) in self.leases.items() if until_us <= now_us]:
             del self.leases[lease]
             gone = [k for k, (_, _, held) in self.keys.items() if held == lease]
@@ -81,7 +84,7 @@
                 self.log.append((self.revision, key, None))
 
     def refresh_leases(self, now_us: int) -> None:
-        """The end of an outage: every lease has its full time again."""
+        """Renew every lease, as at the end of an outage."""
         self.leases = {n: (life, now_us + life) for n, (life, _) in self.leases.items()}
 
     def _page(self, query: dict[str, str]) -> Answer:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a worker: one machine, its tasks, its lease and its token."""
+"""A fake of a worker: one machine with its tasks, its lease and its ownership token."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
     state: str = "fetching"
     cause: str | None = None
     launched_us: int = 0
-    """When its start order was executed."""
+    """When its start order was executed (us)."""
     ready_us: int = 0
-    """When it has its image."""
+    """When its image has been fetched (us)."""
     end_us: int = 0
-    """When it completes, if nothing stops it; when it has saved, if it is saving."""
+    """When (us) it completes, if nothing stops it; in the state `saving`, when its checkpoint is written; in the
+    state `waiting`, when it gives up waiting for the other tasks of its gang."""
 
     @property
     def on_machine(self) -> bool:
-        """Whether it has been let onto the machine and has not ended."""
+        """Whether it has started on the machine and has not ended."""
         return self.state in ("waiting", "running", "saving")
 
 
 @dataclass
 class World:
-    """What a worker knows of jobs, and whom it tells of starts and ends."""
+    """Callbacks of a worker: queries about jobs, and notices of starts and ends of tasks."""
 
     describe: Callable[[str], dict[str, Any] | None]
     run_us: Callable[[Key], int]
@@ -42,14 +43,14 @@
     gang_ready: Callable[[str, int], bool] = lambda job, attempt: True
     """Whether all tasks of a gang's attempt are waiting or running."""
     gang_ended: Callable[[str, int], str | None] = lambda job, attempt: None
-    """Why a gang's running attempt is over: `done`, `mates_gone`, or None while it goes on."""
+    """Why a gang's running attempt is over: `done` or `mates_gone`; None while it goes on."""
     mistaken: Callable[[str], bool] = lambda job: False
-    """Whether a job was submitted with a mistake, so that it fails on every machine."""
+    """Whether a job was submitted with a mistake and therefore fails on every machine."""
 
 
 @dataclass
 class Worker:
-    """A worker in memory: reports, obeys orders of the newest token, ends its tasks when its lease runs out."""
+    """A worker in memory: reports, executes orders of the newest token, ends its tasks when its lease expires."""
 
     name: str
     type: str
@@ -64,14 +65,18 @@
     tick: int = 0
     token: int = 0
     renewed_us: int = 0
+    """From when (us) its lease runs: when the last answered report was sent."""
     notice_us: int | None = None
+    """In what time the cloud takes the machine away, once that is announced."""
     fails: bool = False
+    """Whether all tasks fail on it."""
     tasks: dict[Key, Task] = field(default_factory=dict)
     done: set[tuple[str, int]] = field(default_factory=set)
+    """The tasks that have completed on the machine, as job and number: when started again they are done at once."""
     cached: set[str] = field(default_factory=set)
 
     def report(self) -> dict[str, Any]:
-        """The next report."""
+        """The body of the next report; increases the tick."""
         self.tick += 1
         pieces = []
         for (job, attempt, number), task in self.tasks.items():
@@ -93,7 +98,7 @@
         }
 
     def advance(self, now_us: int) -> bool:
-        """Let time pass; says whether anything changed."""
+        """Advance to a time; return whether anything changed."""
         changed = False
         if now_us - self.renewed_us > self.lease_us:
             for task in self.tasks.values():
@@ -152,7 +157,10 @@
             self.done.add((task.key[0], task.key[2]))
 
     def take_answer(self, now_us: int, sent: tuple[int, int], sent_us: int, body: Any) -> bool:
-        """The 200 to a report; says whether its token was new."""
+        """Take an answer 200 to a report that was sent at `sent_us` with the session and tick `sent`.
+
+        Returns whether its token was new.  Ignores the answer if the session or the token is outdated.
+        """
         if sent[0] != self.session or body.get("baton", -1) < self.token:
             return False
         new = body["baton"] > self.token
@@ -162,7 +170,7 @@
         return new
 
     def orders(self, now_us: int, body: Any) -> Answer:
-        """Take orders that were sent directly; the status and the body of the answer."""
+        """Handle a direct command; return the status and the body of the answer."""
         self.advance(now_us)
         if "baton" not in body or "shift" not in body:
             return 400, {"error": "baton or shift is missing"}
