--- a/tests/model.py
+++ b/tests/model.py
@@ -1,4 +1,7 @@
-"""The model: several controllers' cores with stand-ins around them, in memory, with every rule checked."""
+"""The model: the cores of several controllers run in memory among simulated services, and every rule is checked.
+
+The state service, the cloud, the workers and the users are simulated; the controllers run the real sources.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +66,7 @@
 
 
 class Model(Users, Checks, Neglect, Troubles):
-    """A small deployment.  Everything random comes from one seed."""
+    """A small deployment, simulated event by event.  All random choices come from one seed."""
 
     def __init__(
         self,
@@ -73,7 +76,11 @@
         following: Next | None = None,
         before: Any = None,
     ) -> None:
-        """`following`: the limits to come; `before`: the package of the version that all hosts begin with."""
+        """Begin with all controllers started.
+
+        `following`: the limits of the state service that were announced for later; `before`: the package of the
+        previous version, which all controllers run at first.
+        """
         self.knobs = knobs or OperatorSettings()
         self.following = following
         self.before = before
@@ -83,57 +90,65 @@
         self._seq = itertools.count()
         self._requests = itertools.count(1)
         self.waiting: dict[int, Callable[[int, Any], None]] = {}
+        """For each request that a controller has not answered yet, the callback for the answer."""
         self.state = State(txn_ops=12)
         self.cloud = Cloud(TYPES, boot=self._boot, on_delete=self._machine_ends, lag_us=2 * SECOND)
         self.workers: dict[str, Worker] = {}
         self.hung: set[str] = set()
         self.jobs: dict[str, UserJob] = {}
         self.on: dict[tuple[str, int], dict[str, Key]] = {}
-        """For each task, the machines that it is on."""
+        """For each task that is on a machine, the machines and the task's key there."""
         self.gangs: dict[tuple[str, int], dict[str, Any]] = {}
+        """For each attempt of a gang, the machines of its tasks, whether it ran, and why it is over, if it is."""
         self.cuts: dict[frozenset[str], tuple[int, bool]] = {}
+        """For each pair of hosts that is cut: until when (us), and whether messages are held rather than lost."""
         self.held_orders: dict[str, int] = {}
-        """Until when orders sent straight to a worker are held on their way."""
+        """For each machine, until when (us) direct commands to it are delayed."""
         self.far: dict[int, tuple[int, int]] = {}
-        """Controllers far from the state service: until when, and how much longer a message takes."""
+        """Controllers far from the state service: until when (us), and the added delay of a message to it (us)."""
         self.deaf: dict[str, tuple[int, bool]] = {}
-        """Machines whose reports arrive, while answers and commands do not reach them: until when, and whether these
-        are held rather than lost."""
+        """Machines whose reports arrive, while answers and commands don't reach them: until when (us), and whether
+        these are delayed until then (True) or lost (False)."""
         self.copies_until = 0
-        """Until when copies of reports come, late and to any controller."""
+        """Until when (us) reports are duplicated, and the copies arrive late at any controller."""
         self.roaming_until = self.all_place_until = 0
+        """Until when (us) workers report to random controllers, and until when every controller places all jobs."""
         self.starts = 0
-        self.excused = 0
-        """So many transactions may be refused as too large."""
+        self.allowed_refusals = 0
+        """How many transactions the state service may refuse as too large without breaking a rule."""
         self.asked_us = 0
-        """When the question was asked whose answer is being looked at."""
+        """When (us) the request was sent whose answer is being checked."""
         self.late_starts: list[LateStart] = []
-        self.launches_sent: dict[tuple[str, Key], tuple[str, int]] = {}
-        """For each start order to a machine, how and when it was first sent."""
+        self.launch_orders_sent: dict[tuple[str, Key], tuple[str, int]] = {}
+        """For each start order to a machine, how and when (us) it was first sent."""
         self.late_share = 0.0
+        """The share of messages that are delayed by 0.5 to 6 s."""
         self.boot_fail = False
+        """Whether half of the new machines never boot."""
         self.boot_factor = 1.0
+        """By how much boots take longer than usual."""
         self.mistaken: set[str] = set()
-        """Jobs with a mistake in them."""
+        """Jobs that fail on every machine, because their users submitted them with a mistake."""
         self.state_requests = 0
         self.refusals: dict[str, str] = {}
+        """For each job whose submission was refused, the error."""
         self.drift_ppm = 0
-        """By how much the steady clocks of machines may be fast or slow."""
+        """By how much the monotonic clocks of machines and controllers may be fast or slow (ppm)."""
         self._begin_users()
         self._begin_neglect()
         self._begin_troubles()
-        self.hosts = [Host(n, skew_us=n * 50_000, old=before is not None) for n in range(hosts)]
+        self.hosts = [Host(n, time_of_day_offset_us=n * 50_000, old=before is not None) for n in range(hosts)]
         for host in self.hosts:
             self.start_host(host)
 
     # Time
 
     def at(self, delay_us: int, event: Callable[[], None]) -> None:
-        """Let an event happen after a delay (us)."""
+        """Schedule an event after a delay (us)."""
         heapq.heappush(self._events, (self.now + max(delay_us, 0), next(self._seq), event))
 
     def run(self, seconds: float) -> None:
-        """Let so many seconds pass."""
+        """Advance the simulated time by that many seconds and carry out the events that fall due."""
         end = self.now + int(seconds * SECOND)
         while self._events and self._events[0][0] <= end:
             self.now, _, event = heapq.heappop(self._events)
@@ -148,50 +163,51 @@
         rng = random.Random(self.rng.random())
         if host.old:
             settings = settings_for(host.number, len(self.hosts), self.following, self.before.Settings)
-            host.core = self.before.Controller(settings, self.before.Knobs(**self._knobs_set()), rng)
+            host.core = self.before.Controller(settings, self.before.Knobs(**self._operator_settings_given()), rng)
         else:
             settings = settings_for(host.number, len(self.hosts), self.following)
             host.core = Controller(settings, self.knobs, rng)
         core = host.core
         core.kernel.strict = True
-        # Steering and who places a job are hints: no rule may rest on them.
+        # Where a worker is redirected to and which controller places a job are hints: no rule may depend on them.
         foreman = core.desk._foreman
-        who = core.placer if host.old else core.presence
-        mine = who.mine
+        placing = core.placer if host.old else core.presence
+        mine = placing.mine
         core.desk._foreman = lambda *args: None if self.now < self.roaming_until else foreman(*args)
-        who.mine = lambda job: self.now < self.all_place_until or mine(job)
+        placing.mine = lambda job: self.now < self.all_place_until or mine(job)
         self.carry_out(host, host.core.start(*self.clock(host)))
         self._controller_starts(host)
 
-    def _knobs_set(self) -> dict[str, Any]:
+    def _operator_settings_given(self) -> dict[str, Any]:
         return {"group_size": self.knobs.group_size}
 
     def limits_fall(self) -> None:
-        """What was announced comes without notice.
+        """Put the announced limits into force, without notice.
 
-        Where a controller has been kept away since it was replaced, nobody can know that all are new: then each
-        learns it from the first transaction that is refused, and so many may be.
+        Where a controller has been unreachable since its version was replaced, no controller can know that all run
+        the new version: then each learns the new limits from its first refused transaction, so one refusal for each
+        controller is allowed.
         """
         assert self.following is not None
         keys = (f"ashtray/now/controller/berth-{host.number}" for host in self.hosts)
         known = all(key in self.state.keys and self.state.keys[key][0].get("form") for key in keys)
-        self.excused = 0 if known or self.before is None else len(self.hosts)
+        self.allowed_refusals = 0 if known or self.before is None else len(self.hosts)
         self.state.value_kb, self.state.txn_ops = self.following
 
     def clock(self, host: Host) -> tuple[int, int]:
-        """The steady clock and the time of day of a controller (us)."""
+        """A controller's monotonic clock and its time of day (us)."""
         steady_us = self.now + self.now * host.drift_ppm // MILLION
-        return steady_us + SECOND, self.now + 10**12 + host.skew_us
+        return steady_us + SECOND, self.now + 10**12 + host.time_of_day_offset_us
 
     def drift(self, most_ppm: int) -> None:
-        """Let all steady clocks run at rates of their own, from the beginning on."""
+        """Let all monotonic clocks run fast or slow by up to that much; only before the first event."""
         assert self.now == 0
         self.drift_ppm = most_ppm
         for host in self.hosts:
             host.drift_ppm = self.rng.choice((-most_ppm, 0, most_ppm))
 
     def crash(self, number: int, back_s: float) -> None:
-        """End a controller's process with no signal; it is back after so many seconds."""
+        """End a controller's process without a signal, and start it again after that many seconds."""
         host = self.hosts[number]
         host.core, host.inbox, host.busy = None, Inbox(), False
         host.life += 1
@@ -199,11 +215,11 @@
         self.at(int(back_s * SECOND), lambda: self.start_host(host) if host.life == life else None)
 
     def carry_out(self, host: Host, outputs: list[Output]) -> None:
-        """Carry out what a core puts out: requests, answers, timers and log lines."""
+        """Carry out the outputs of a core, and schedule its next timer."""
         core = host.core
         assert core is not None
         for output in outputs:
-            # By name, for the version before has classes of its own.
+            # Compared by name, because the previous version has classes of its own.
             kind = type(output).__name__
             if kind == "Send":
                 self.send(f"c{host.number}", output.call, self._to_core(host, host.life, output))
@@ -211,10 +227,10 @@
                 answer = self.waiting.pop(output.request_id, None)
                 if answer is not None:
                     answer(output.status, output.body)
-        self._look_for_new_leader(host)
+        self._send_reports_to_new_leader(host)
         wake = core.kernel.next_wake_us()
         if wake is not None:
-            # The first moment at which its clock shows that time.
+            # The first moment at which the controller's own clock shows that time.
             due = -((SECOND - wake) * MILLION // (MILLION + host.drift_ppm))
             if host.timer_us is None or due < host.timer_us or host.timer_us <= self.now:
                 host.timer_us = due
@@ -250,7 +266,7 @@
         patience_us: int = FOR_EVER_US,
         refuse: Callable[[], list[Output]] | None = None,
     ) -> None:
-        """Give a core an input: at once, in its turn where it is slow, or once it no longer stands still."""
+        """Give a core an input: at once, through its inbox where it is slow, or later if its process is paused."""
         if host.core is None or host.life != life:
             return
         if host.halted_until > self.now:
@@ -271,7 +287,7 @@
             self.at(host.slow_us, lambda: self._drain(host, life))
 
     def _drain(self, host: Host, life: int) -> None:
-        """One that is slow takes what waits, an input at a time."""
+        """Let a slow controller take one input from its inbox."""
         if host.core is None or host.life != life:
             return
         host.core.kernel.behind_us = host.inbox.behind_us(self.now)
@@ -285,7 +301,7 @@
             return []
         outputs = take(host.core)
         if host.halts_us:
-            # Decided before the halt, but on its way only after it.
+            # The outputs were decided before the process paused, but are sent only after the pause.
             host.halted_until, host.halts_us = self.now + host.halts_us, 0
             late = host.halted_until - self.now
             self.at(late, lambda: self.carry_out(host, outputs) if host.life == life and host.core else None)
@@ -295,15 +311,15 @@
     # Network
 
     def hop(self) -> int:
-        """How long a message takes between two hosts (us), by chance."""
+        """A random delay of a message between two hosts (us)."""
         return int(self.rng.uniform(0.0002, 0.004) * SECOND)
 
     def cut(self, a: str, b: str, seconds: float, hold: bool) -> None:
-        """Cut two hosts off from one another; messages are lost, or held until the cut is over."""
+        """Cut the connection between two hosts; messages are lost, or delayed until the cut is over with `hold`."""
         self.cuts[frozenset((a, b))] = (self.now + int(seconds * SECOND), hold)
 
     def _path(self, a: str, b: str) -> int | None:
-        """How long a message takes now; None when it is lost."""
+        """The delay of a message sent now (us); None if the message is lost."""
         delay = self.hop()
         until, hold = self.cuts.get(frozenset((a, b)), (0, False))
         if until > self.now:
@@ -315,7 +331,7 @@
         return delay
 
     def send(self, source: str, call: Call, deliver: Callable[[Reply], None]) -> None:
-        """Carry a request to its host and the answer back, each late, lost or held as the network has it."""
+        """Carry a request to its host and the answer back; the network may delay or lose either."""
         over = [False]
 
         def finish(reply: Reply) -> None:
@@ -326,12 +342,12 @@
         self.at(call.timeout_us, lambda: finish(Reply(0)))
         target = call.address.partition(":")[0]
         if target in self.workers:
-            self._note_launches(target, "direct command", call.body)
+            self._record_launch_orders(target, "direct command", call.body)
         there = self._path(source, target.replace("p", "c") if target[0] == "p" else target)
         if there is None:
             return
 
-        if self._is_mute(source):
+        if self._loses_request_of(source):
             return
         deaf_until, held = self.deaf.get(target, (0, False))
         if deaf_until > self.now:
@@ -341,10 +357,10 @@
 
         def answered(status: int, body: Any) -> None:
             if source in self.workers:
-                self._note_launches(source, "answer to a report", body)
+                self._record_launch_orders(source, "answer to a report", body)
             back = self._path(source, target.replace("p", "c") if target[0] == "p" else target)
             if self.deaf.get(source, (0, False))[0] > self.now:
-                # An answer that is held is one whose worker has given it up, or nearly.
+                # By the time a delayed answer arrives, the worker has timed out or is about to.
                 until_us, held = self.deaf[source]
                 back = until_us - self.now if held else None
             if back is not None:
@@ -432,20 +448,20 @@
             renewed_us=self.now,
         )
         self.workers[name] = worker
-        self._live(worker)
+        self._advance_loop(worker)
         self._report_loop(worker, self.rng.randrange(len(self.hosts)))
 
     def _lease_us(self) -> int:
-        """How long a machine takes a lease to be, by its own clock."""
+        """The length of a lease by the clock of a machine, which may be fast or slow (us)."""
         drift_ppm = self.rng.choice((-self.drift_ppm, self.drift_ppm)) if self.drift_ppm else 0
         return int(LEASE_S * (MILLION - drift_ppm))
 
-    def _live(self, worker: Worker) -> None:
-        """Let a machine's time pass, unless it hangs."""
+    def _advance_loop(self, worker: Worker) -> None:
+        """Advance a worker's time five times a second, unless its machine hangs."""
         if self.workers.get(worker.name) is worker:
             if worker.name not in self.hung:
                 worker.advance(self.now)
-            self.at(SECOND // 5, lambda: self._live(worker))
+            self.at(SECOND // 5, lambda: self._advance_loop(worker))
 
     def _report_loop(self, worker: Worker, node: int) -> None:
         if self.workers.get(worker.name) is not worker:
@@ -461,7 +477,7 @@
 
         def answered(reply: Reply) -> None:
             if self.workers.get(worker.name) is not worker:
-                # Found by generated runs: one that had ended completed a task when its last answer came.
+                # Otherwise a machine that has ended completes a task when its last answer arrives.
                 return
             if worker.name in self.hung:
                 kept = reply if self.now - sent_us < 4 * SECOND else Reply(0)
@@ -472,7 +488,7 @@
                 worker.advance(self.now)
                 if worker.take_answer(self.now, sent, sent_us, reply.body):
                     pause = SECOND // 2
-                    self._new_owner(worker.name)
+                    self._send_reports_to_new_owner(worker.name)
             elif reply.status == 421 and reply.body.get("foreman") in {f"berth-{h.number}" for h in self.hosts}:
                 following = int(reply.body["foreman"].removeprefix("berth-"))
                 pause = int(self.rng.uniform(0, 0.5) * SECOND)
@@ -491,12 +507,12 @@
                 self.at(late_us, lambda to=to: self.copy_arrives(worker.name, to, report))
 
     def copy_arrives(self, name: str, number: int, report: dict[str, Any]) -> None:
-        """A copy of a report, which nobody waits for an answer to."""
+        """Deliver a copy of a report to a controller; nobody waits for the answer."""
         body = msgspec.msgpack.decode(msgspec.msgpack.encode(report))
         self._arrive(name, f"c{number}", "POST", "/hello", body, lambda *_: None, lambda _: None)
 
     def bounce(self, name: str, back_s: float) -> None:
-        """A machine ends with all that is on it, and is back under its name with its session from the start."""
+        """End a machine with all its tasks; it comes back under the same name, with its session counted from 1."""
         old = self.workers.pop(name, None)
         if old is None:
             return
@@ -509,7 +525,7 @@
                 new = self.workers[name] = replace(
                     old, session=1, tick=0, token=0, renewed_us=self.now, notice_us=None, tasks={}, cached=set()
                 )
-                self._live(new)
+                self._advance_loop(new)
                 self._report_loop(new, self.rng.randrange(len(self.hosts)))
 
         self.at(int(back_s * SECOND), back)
@@ -523,14 +539,14 @@
         del worker
 
     def wake(self, name: str) -> None:
-        """A machine that hung goes on; if its lease is over, that is the first thing it notices."""
+        """Let a machine that hung go on; it first notices whether its lease has expired."""
         self.hung.discard(name)
         if name in self.workers:
             self.workers[name].advance(self.now)
             self.check_woken(name)
 
     def lose_machine(self, index: int) -> None:
-        """Let the cloud take one of the machines without notice."""
+        """Let the cloud take one of the machines away without notice."""
         alive = sorted(self.workers)
         if alive:
             self.cloud.end(self.now, alive[index % len(alive)], "taken")
--- a/tests/model_basis.py
+++ b/tests/model_basis.py
@@ -1,4 +1,4 @@
-"""What all parts of the model share: times, machine types, settings, submissions, and what is kept of each job."""
+"""What all parts of the model share: durations, machine types, settings, submissions and the state of each job."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 SECOND = 1_000_000
 LEASE_S, CANCEL_S, REPORT_S, GANG_WAIT_S, GANG_PEER_S = 8.0, 20.0, 1.5, 15.0, 2.0
 FORGOTTEN_S = 75
-"""A job about which no question is answered for so long, once all troubles are over, is forgotten."""
+"""A job counts as forgotten once no query about it has been answered for this long after the end of all troubles."""
 TYPES = [
     {
         "name": "small",
@@ -44,11 +44,11 @@
 
 
 Next = tuple[float, int]
-"""The KiB of a value and the changes of a transaction that are to come."""
+"""The announced limits of the state service: the size of a value (KiB) and the writes of one transaction."""
 
 
 def settings_for(host: int, hosts: int, following: Next | None = None, kind: Any = Settings) -> Any:
-    """The settings of one controller of several; `kind` is the class that they are converted to."""
+    """The settings of one of `hosts` controllers, converted to the class `kind`."""
     state: dict[str, Any] = {"rps": 200.0, "write_rps": 60.0, "value_kb": 32.0, "txn_ops": 12}
     if following is not None:
         state["next"] = {"write_rps": 45.0, "value_kb": following[0], "txn_ops": following[1]}
@@ -80,7 +80,7 @@
 
 
 def submission(job: str, **over: Any) -> dict[str, Any]:
-    """What a user submits for a job of three small tasks, but for what `over` says."""
+    """What a user submits for a job of three small tasks; `over` replaces or adds fields."""
     base = {
         "name_id": job,
         "lane": "any",
@@ -112,52 +112,58 @@
 
 @dataclass
 class Host:
-    """A controller process, or where it was."""
+    """A controller, whether its process runs or not."""
 
     number: int
     core: Any = None
     life: int = 0
-    skew_us: int = 0
+    """Counts its starts and ends, so that events of an earlier process are dropped."""
+    time_of_day_offset_us: int = 0
     drift_ppm: int = 0
-    """By how much its steady clock runs fast."""
+    """By how much its monotonic clock runs fast (ppm)."""
     timer_us: int | None = None
+    """When (us) the next wake-up of its core is due."""
     old: bool = False
-    """It runs the version in production before."""
+    """Whether it runs the previous version."""
     halts_us: int = 0
-    """It is to stand still for so long after the next input, before what that led to goes out."""
+    """How long its process pauses after the next input, before the outputs of that input are sent; 0: not at all."""
     halted_until: int = 0
+    """Until when (us) its process is paused."""
     slow_us: int = 0
-    """What an input takes it, beside the time of its timers: it falls behind when more comes."""
+    """How long each input occupies it: it falls behind when inputs arrive faster."""
     inbox: Inbox = field(default_factory=Inbox)
-    """What came meanwhile."""
+    """Inputs that arrived while it was occupied."""
     busy: bool = False
+    """Whether it is occupied with an input."""
     refused_until: int = 0
-    """Until when the state service refuses this controller alone."""
+    """Until when (us) the state service refuses this controller alone."""
 
 
 @dataclass
 class UserJob:
-    """A job as its user and the machines know it."""
+    """A job: its user's requests, the answers given to users, and what its tasks did on the machines."""
 
     spec: dict[str, Any]
     accepted_us: int | None = None
     cancel_asked: bool = False
     cancelled_us: int | None = None
     told: str | None = None
+    """The final state that a user was told first; None before that."""
     told_us: int = 0
     known_us: int | None = None
-    """When a user was first told of it, by whatever answer."""
+    """When (us) a user first received an answer that shows the job to be known."""
     finished: set[int] = field(default_factory=set)
+    """The tasks that have completed."""
 
 
 @dataclass(frozen=True)
 class LateStart:
-    """A task that started after a user was told that its job is cancelled."""
+    """A task that started after a user was told that its job was cancelled."""
 
     job: str
     task: int
     machine: str
     after_us: int
-    """How long after the first user was told."""
+    """How long after the first user was told (us)."""
     way: str = field(default="", compare=False)
-    """How its start order came, and whether that was sent, and arrived, before the first user was told."""
+    """How its start order was sent, and whether it was sent and executed before the first user was told."""
--- a/tests/model_users.py
+++ b/tests/model_users.py
@@ -1,4 +1,4 @@
-"""The users of the model: they submit, ask, cancel, and compare each answer with what they were told before."""
+"""The users of the model: they submit, query and cancel jobs, and compare each answer with the earlier ones."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from ashtray.kernel import Call, Reply
 from tests.model_basis import CANCEL_S, FORGOTTEN_S, SECOND, RuleBroken, UserJob
 
-LOOKS_US = (0, 3_000, 30_000, 250_000, 900_000)
-"""When all controllers are asked about a job after something happened to it."""
-LOOKS_AT_ONCE, LOOKS_SPREAD_S = 10, 5.0
-"""So many close looks at one time, and how long it takes until so many are allowed again."""
-CANCELLED_AT_ONCE = 0.1
-"""The share of jobs that are called off within milliseconds of their acceptance."""
+CLOSE_LOOK_DELAYS_US = (0, 3_000, 30_000, 250_000, 900_000)
+"""How long after an event of a job all controllers are asked about it (a close look)."""
+MAX_CLOSE_LOOKS, CLOSE_LOOKS_REFILL_S = 10, 5.0
+"""The most close looks at one time, and the time (s) until as many are allowed again."""
+CANCELLED_AT_ONCE_SHARE = 0.1
+"""The share of jobs that are cancelled within 5 ms of their acceptance."""
 
 
 class Users:
-    """The part of the model that asks the controllers and judges what they answer."""
+    """The part of the model that sends requests to the controllers and checks their answers."""
 
     def _begin_users(self) -> None:
         self.calm_since_us: int | None = None
         self.close_looks = False
-        self._looks_left, self._looks_us = float(LOOKS_AT_ONCE), 0
-        self._accepted_jobs = 0
+        self._close_looks_left, self._close_looks_us = float(MAX_CLOSE_LOOKS), 0
+        self._accepted_count = 0
 
     def submit(self, spec: dict[str, Any]) -> None:
-        """Submit a job to some controller, again and again until it is accepted or refused."""
+        """Submit a job to a random controller; retry until it is accepted or refused."""
         job_id = spec["name_id"]
         self.jobs[job_id] = UserJob(spec)
         self._submit(job_id)
@@ -40,7 +40,7 @@
         then: Callable[[Reply], None],
         node: int | None = None,
     ) -> None:
-        """Ask a controller, any if none is given."""
+        """Send a request to a controller, a random one if none is given."""
         node = self.rng.randrange(len(self.hosts)) if node is None else node
         asked_us = self.now
 
@@ -66,7 +66,7 @@
         self._ask("POST", "/submissions", job.spec, 5, answered)
 
     def _accepted(self, job_id: str, reply: Reply) -> None:
-        """A submission was answered with a state."""
+        """Check an answer that accepts a submission; at the first one, begin to poll the job."""
         job = self.jobs[job_id]
         if reply.status == 201 and job.known_us is not None and self.asked_us > job.known_us:
             raise RuleBroken(f"went_back: {job_id} is accepted anew")
@@ -77,12 +77,12 @@
         self._told(job_id, reply.body["status"])
         if first:
             self._look(job_id)
-            self._accepted_jobs += 1
-            if self.close_looks and self._accepted_jobs > 1 and self.rng.random() < CANCELLED_AT_ONCE:
+            self._accepted_count += 1
+            if self.close_looks and self._accepted_count > 1 and self.rng.random() < CANCELLED_AT_ONCE_SHARE:
                 self.at(self.rng.randrange(1, 5_000), lambda: self.cancel(job_id))
 
     def _answered(self, job_id: str, reply: Reply) -> None:
-        """A question about a job that somebody has submitted was answered."""
+        """Check the answer to a query about a submitted job."""
         known_us = self.jobs[job_id].known_us
         if reply.status == 200:
             self._told(job_id, reply.body["status"])
@@ -92,38 +92,38 @@
     # Close looks
 
     def look_closely(self) -> None:
-        """From now on users ask all controllers again and again once a job is accepted, ends or is called off.
+        """From now on, query all controllers in a burst whenever a job is accepted, ends or is cancelled.
 
-        They repeat the submission and the cancellation too, and call some jobs off at once.
+        Users also repeat the submission and the cancellation then, and cancel some jobs right after acceptance.
         """
         self.close_looks = True
 
     def _look(self, job_id: str) -> None:
-        """Ask all controllers within milliseconds and several times in the second that follows."""
+        """Query all controllers within milliseconds, and several times more within a second."""
         if not self.close_looks or self.jobs[job_id].accepted_us is None:
             return
-        rate = LOOKS_AT_ONCE / LOOKS_SPREAD_S
-        since_s = (self.now - self._looks_us) / SECOND
-        self._looks_left = min(self._looks_left + rate * since_s, LOOKS_AT_ONCE) - 1
-        self._looks_us = self.now
-        if self._looks_left < 0:
-            # Asking is bounded: a crowd of ends is looked at in part.
-            self._looks_left = 0
+        rate = MAX_CLOSE_LOOKS / CLOSE_LOOKS_REFILL_S
+        since_s = (self.now - self._close_looks_us) / SECOND
+        self._close_looks_left = min(self._close_looks_left + rate * since_s, MAX_CLOSE_LOOKS) - 1
+        self._close_looks_us = self.now
+        if self._close_looks_left < 0:
+            # The number of queries is bounded: when many jobs end together, only some are queried.
+            self._close_looks_left = 0
             return
         nodes = range(len(self.hosts))
-        for delay_us in LOOKS_US:
+        for delay_us in CLOSE_LOOK_DELAYS_US:
             for node in nodes:
                 late_us = delay_us + self.rng.randrange(1, 1_000)
-                self.at(late_us, lambda node=node: self._ask_state(job_id, node))
+                self.at(late_us, lambda node=node: self._query(job_id, node))
         for repeat in (self._repeat_submission, self._repeat_cancellation):
             node = self.rng.randrange(len(self.hosts))
             self.at(self.rng.randrange(1, 20_000), lambda repeat=repeat, node=node: repeat(job_id, node))
 
-    def _ask_state(self, job_id: str, node: int) -> None:
+    def _query(self, job_id: str, node: int) -> None:
         self._ask("GET", f"/submissions/{job_id}", None, 2, lambda reply: self._answered(job_id, reply), node)
 
     def _repeat_submission(self, job_id: str, node: int) -> None:
-        """Submit once more what is accepted already, and don't come back to it."""
+        """Submit an accepted job once more, without a retry."""
 
         def answered(reply: Reply) -> None:
             if reply.status in (200, 201):
@@ -135,7 +135,7 @@
             self._ask("POST", "/submissions", self.jobs[job_id].spec, 5, answered, node)
 
     def _repeat_cancellation(self, job_id: str, node: int) -> None:
-        """Cancel once more what is over already: the answer is its final state."""
+        """Cancel an ended job once more: the answer must be its final state."""
 
         def answered(reply: Reply) -> None:
             if reply.status == 404:
@@ -152,6 +152,8 @@
         self._cancel_at_end(job_id)
 
     def _poll(self, job_id: str) -> None:
+        """Query a job every two seconds."""
+
         def answered(reply: Reply) -> None:
             self._answered(job_id, reply)
             self.at(2 * SECOND, lambda: self._poll(job_id))
@@ -159,17 +161,17 @@
         self._ask("GET", f"/submissions/{job_id}", None, 2, answered)
 
     def calm(self) -> None:
-        """All troubles are over: from now on nothing may be forgotten, however the others fare, nor neglected."""
+        """All troubles are over: check from now on that no accepted job is forgotten or neglected."""
         if self.calm_since_us is not None:
             return
         self.calm_since_us = self.now
-        self._look_for_neglect()
+        self._check_neglect()
         answered_us = {job_id: self.now for job_id, job in self.jobs.items() if job.accepted_us is not None}
 
         def ask(turn: int) -> None:
             for job_id in sorted(answered_us):
                 if self.now - answered_us[job_id] > FORGOTTEN_S * SECOND:
-                    raise RuleBroken(f"forgotten: no question about {job_id} is answered for {FORGOTTEN_S} s")
+                    raise RuleBroken(f"forgotten: no question about {job_id} has been answered for {FORGOTTEN_S} s")
 
                 def answered(reply: Reply, job_id: str = job_id) -> None:
                     if reply.status == 200:
@@ -184,7 +186,7 @@
         ask(0)
 
     def ask_unknown(self) -> None:
-        """Ask about a job that nobody has submitted, every few seconds."""
+        """Query a job that nobody has submitted, every three seconds."""
 
         def answered(reply: Reply) -> None:
             if reply.status == 200:
@@ -194,7 +196,7 @@
         self.at(3 * SECOND, self.ask_unknown)
 
     def storm(self, seconds: float, rate: int = 40, ids: tuple[str, ...] = ()) -> None:
-        """Users ask many times as often, about jobs of all sorts and about some that nobody has submitted."""
+        """Send `rate` queries a second, about known jobs (or `ids`) and about some that nobody has submitted."""
 
         def ask() -> None:
             known = ids or (*sorted(self.jobs), "job-999999", "job-999998")
@@ -213,7 +215,7 @@
             self.at(n * SECOND // rate, ask)
 
     def cancel(self, job_id: str) -> None:
-        """Cancel an accepted job at some controller, again and again until that is answered."""
+        """Cancel an accepted job at a random controller; retry until the cancellation is answered."""
         job = self.jobs.get(job_id)
         if job is None or job.accepted_us is None:
             return
@@ -230,15 +232,16 @@
         self._ask("POST", f"/submissions/{job_id}/abort", None, 5, answered)
 
     def _told(self, job_id: str, status: str) -> None:
+        """Check a state that a user was told against the earlier answers and against what the tasks did."""
         job = self.jobs[job_id]
         if job.known_us is None:
             job.known_us = self.now
         if status == "done" and len(job.finished) < job.spec["pieces"]:
             raise RuleBroken(f"not_done: {job_id} with {sorted(job.finished)} of {job.spec['pieces']}")
-        since = self._orphan_us(job_id)
+        since = self._orphaned_since_us(job_id)
         if status in ("pending", "running") and since is not None and self.asked_us > since + CANCEL_S * SECOND:
             raise RuleBroken(f"orphaned: {job_id} is {status}")
-        # An answer on its way when a later one is told is no older answer given: the question decides.
+        # An answer counts as newer if its question was sent after the earlier answer arrived.
         older = self.asked_us > job.told_us or status in ("done", "cancelled")
         if job.told in ("done", "cancelled") and status != job.told and older:
             raise RuleBroken(f"went_back: {job_id} from {job.told} to {status}")
@@ -253,17 +256,22 @@
             self._look(job_id)
 
     def _may_be_cancelled(self, job_id: str) -> bool:
-        """Whether its user, or that of a job that it needs, has asked for it."""
+        """Whether the cancellation of the job, or of a job that it waits on, was requested."""
         job = self.jobs[job_id]
-        return job.cancel_asked or any(self._may_be_cancelled(need) for need in job.spec.get("waits_on") or ())
+        return job.cancel_asked or any(
+            self._may_be_cancelled(dependency) for dependency in job.spec.get("waits_on") or ()
+        )
+
+    def _orphaned_since_us(self, job_id: str) -> int | None:
+        """Since when (us) the job has been accepted, and a job that it waits on told to a user as cancelled.
 
-    def _orphan_us(self, job_id: str) -> int | None:
-        """When a user was first told that a job before this one is cancelled, at the latest when both were known."""
+        Dependencies of dependencies count too.  None if only one of these is so.
+        """
         job = self.jobs[job_id]
         found = []
-        for need in job.spec.get("waits_on") or ():
-            at_us = self.jobs[need].cancelled_us
-            at_us = self._orphan_us(need) if at_us is None else at_us
+        for dependency in job.spec.get("waits_on") or ():
+            at_us = self.jobs[dependency].cancelled_us
+            at_us = self._orphaned_since_us(dependency) if at_us is None else at_us
             if at_us is not None and job.accepted_us is not None:
                 found.append(max(at_us, job.accepted_us))
         return min(found, default=None)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,8 @@
-"""What grows with the fleet, counted at a hundred, a thousand and ten thousand machines: nothing jumps."""
+"""Sizes and counts at 100, 1,000 and 10,000 machines: none grows faster than the fleet.
+
+Also: the shortcuts that save work (comparisons, caches, ranking in bulk, incremental indexes) give the same results
+as the plain way.
+"""
 
 import math
 import random
@@ -27,32 +31,32 @@
 KIND = MachineType("big", 96.0, 8.0, 384.0, 80.0, 0.6, 27.0, 7.0, 25_000_000, ("a",))
 
 
-def names(number: int) -> list[str]:
+def machine_names(number: int) -> list[str]:
     return [f"vm-{n:06}" for n in range(number)]
 
 
-def proportional(counts: list[float]) -> None:
-    """Ten times as many machines: at most ten times as much, but for what is there anyway."""
+def assert_proportional(counts: list[float]) -> None:
+    """Assert that ten times as many machines give at most ten times as much, with a margin for a constant part."""
     for less, more in zip(counts, counts[1:], strict=False):
         assert more <= 10.5 * less, counts
 
 
-def test_a_word_between_peers_grows_with_the_machines_that_its_sender_hears() -> None:
+def test_a_heartbeat_grows_with_the_machines_that_report_to_its_sender() -> None:
     core = Model(1, hosts=3).hosts[0].core
     core.cluster_state.fleet = ({"host": "berth-1"}, 1)
     sizes = []
     for number in SIZES:
         now = core.kernel.now_us
-        core.peers._reports = lambda number=number, now=now: dict.fromkeys(names(number), now)
-        to_runner = len(msgspec.msgpack.encode(core.peers._word("berth-1")))
-        # Nobody but the runner of the fleet has any use for that.
+        core.peers._reports = lambda number=number, now=now: dict.fromkeys(machine_names(number), now)
+        to_leader = len(msgspec.msgpack.encode(core.peers._word("berth-1")))
+        # Only the fleet leader needs the list of machines.
         assert len(msgspec.msgpack.encode(core.peers._word("berth-2"))) < 200
-        sizes.append(to_runner)
-    proportional(sizes)
+        sizes.append(to_leader)
+    assert_proportional(sizes)
     assert sizes[-1] <= 20 * SIZES[-1]
 
 
-def test_what_was_heard_is_forgotten_with_its_age_not_kept_for_every_machine_that_ever_was() -> None:
+def test_the_last_reports_known_from_a_peer_expire() -> None:
     model = Model(1, hosts=2)
     core = model.hosts[0].core
     peer = core.peers.peers["berth-1"]
@@ -69,9 +73,9 @@
 def test_groups_grow_with_the_machines_and_their_records_do_not(alike: bool) -> None:
     limits = Limits(16, 55_000, 32_768, alike=alike)
     groups = [math.ceil(number / group_size(KIND, limits)) for number in SIZES]
-    proportional([float(number) for number in groups])
+    assert_proportional([float(number) for number in groups])
     assert groups[1] <= (32 if alike else 50)
-    # A full group, each machine with as many holds as it has GPUs, of jobs and images of their own.
+    # A full group: each machine has one allocation for each GPU, and all jobs and images differ.
     machines = {
         name: MachineRecord(
             "10.100.100.100:9000",
@@ -86,19 +90,22 @@
                 for k in range(8)
             ],
         )
-        for n, name in enumerate(names(group_size(KIND, limits)))
+        for n, name in enumerate(machine_names(group_size(KIND, limits)))
     }
     value = msgspec.to_builtins(GroupRecord("big", "a", machines))
     assert compact_record.size_of(compact_record.pack(value) if alike else value) <= limits.value_bytes
 
 
-def test_a_start_reads_pages_by_the_keys_that_are_live_and_adopts_by_the_group() -> None:
+def test_a_start_reads_live_keys_only_and_adopts_machines_group_by_group() -> None:
     pages, changes = [], []
     for number in SIZES[:2]:
         cluster_state, limits = ClusterState(), Limits(16, 55_000, 32_768, alike=True)
         cluster_state._types["t"] = {"big": KIND}
         cluster_state._types_changed()
-        left = {name: Report(name, "10.1.0.1:9000", "big", "a", False, 1, 1, 0, None, {}) for name in names(number)}
+        left = {
+            name: Report(name, "10.1.0.1:9000", "big", "a", False, 1, 1, 0, None, {})
+            for name in machine_names(number)
+        }
         version = spent = 0
         while left:
             txn, taken = adoption(cluster_state, left, OperatorSettings().group_size, limits)
@@ -111,39 +118,39 @@
                 del left[name]
         changes.append(spent)
         pages.append(math.ceil(sum(key.startswith(GROUP) for key in cluster_state.groups) / 1000))
-    proportional([float(spent) for spent in changes])
+    assert_proportional([float(spent) for spent in changes])
     assert changes[1] <= 75 and pages == [1, 1]
 
 
-def test_what_the_runner_keeps_for_its_heirs_is_bounded() -> None:
-    assert len(latest(dict.fromkeys(names(10_000), 5))) <= 1_000
+def test_what_the_fleet_leader_stores_for_its_successor_is_bounded() -> None:
+    assert len(latest(dict.fromkeys(machine_names(10_000), 5))) <= 1_000
     intents = Intents()
-    batch = [Intent(f"r-{n}", "big", "a", True, 50, n, names(50)) for n in range(2_000)]
+    batch = [Intent(f"r-{n}", "big", "a", True, 50, n, machine_names(50)) for n in range(2_000)]
     intents.begin(batch)
     assert len(msgspec.json.encode(intents.value("berth-0", 16_384.0))) <= 16_384
 
 
-def test_a_report_that_says_nothing_new_is_compared_with_nothing_and_one_that_does_is() -> None:
+def test_only_reports_with_changes_are_compared_with_the_records() -> None:
     model = Model(3, hosts=1)
     model.run(3)
     model.submit(submission("job-0", pieces=4, shape="service", crew="free"))
     model.run(20)
     desk = model.hosts[0].core.desk
-    looks: list[str] = []
-    see = desk._see
-    desk._see = lambda worker, *args: looks.append(worker.name) or see(worker, *args)
+    compared: list[str] = []
+    original = desk._see
+    desk._see = lambda worker, *args: compared.append(worker.name) or original(worker, *args)
     before = {name: worker.tick for name, worker in model.workers.items()}
     model.run(10)
     assert all(worker.tick > before[name] + 3 for name, worker in model.workers.items())
-    assert not looks
-    # A task that ends is seen at once.
+    assert not compared
+    # A report in which a task has ended is compared at once.
     name = next(name for name, worker in model.workers.items() if worker.tasks)
     model.workers[name].fails = True
     model.run(3)
-    assert name in looks
+    assert name in compared
 
 
-def test_the_names_of_tasks_are_read_once_however_often_they_are_reported() -> None:
+def test_task_names_are_parsed_once_however_often_they_are_reported() -> None:
     parse_task.cache_clear()
     pieces = [{"piece": f"job-{n}/{n}", "try": 1, "status": "running"} for n in range(200)]
     report = {
@@ -163,12 +170,12 @@
     assert parse_report({**report, "pieces": [{**pieces[0], "piece": "job-1"}]}) is None
 
 
-def ranked_one_by_one(
+def rank_one_by_one(
     rooms: list[Room], ask: Ask, count: int, knobs: OperatorSettings, rng: random.Random
 ) -> list[Room]:
-    """What `rank` promises, with each machine judged by itself."""
+    """The result that `rank` must give, with each machine scored by itself."""
     rules = [PREFERENCES[name] for name in knobs.rules]
-    upto = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
+    rule_count = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
     fitting = [room for room in rooms if valid(room, ask)]
     fits: dict[str, int] = {}
     for room in fitting:
@@ -176,12 +183,12 @@
     ask.few = {group: 0 if group in ask.due else -(-count // min(fit, count)) for group, fit in fits.items()}
     scored = [(tuple(rule.score(room, ask, knobs) for rule in rules), rng.random(), room) for room in fitting]
     scored.sort(key=lambda entry: entry[:2])
-    if not upto:
+    if not rule_count:
         return [room for _, _, room in scored]
-    companies: dict[tuple[tuple[float, ...], str], list[Room]] = {}
+    by_group: dict[tuple[tuple[float, ...], str], list[Room]] = {}
     for score, _, room in scored:
-        companies.setdefault((score[:upto], room.machine.group), []).append(room)
-    return [room for company in companies.values() for room in company]
+        by_group.setdefault((score[:rule_count], room.machine.group), []).append(room)
+    return [room for group_rooms in by_group.values() for room in group_rooms]
 
 
 @given(st.integers(0, 10**6), st.integers(1, 12), st.booleans(), st.sampled_from([0, 1, 3]), st.booleans())
@@ -209,17 +216,17 @@
     ask = Ask(spec, priority=priority, sparing=sparing, due={"group-1"}, failed_on=frozenset({"vm-1", "vm-2"}))
     plain = Ask(spec, priority=priority, sparing=sparing, due={"group-1"}, failed_on=frozenset({"vm-1", "vm-2"}))
     found = rank(list(rooms), ask, count, knobs, random.Random(seed))
-    assert found == ranked_one_by_one(rooms, plain, count, knobs, random.Random(seed))
+    assert found == rank_one_by_one(rooms, plain, count, knobs, random.Random(seed))
     assert ask.few == plain.few
 
 
-CREW = JobSpec("any", "crew", "array", 2, 9, 2.0, 1.0, 3.0, "img", 1.0)
+TEAM_JOB = JobSpec("any", "crew", "array", 2, 9, 2.0, 1.0, 3.0, "img", 1.0)
 
 
-def drawn_group(draw: random.Random, names: list[str]) -> dict:
-    """A group's record with some of these machines, each with holds of a few jobs."""
+def draw_group(draw: random.Random, vm_names: list[str]) -> dict:
+    """A random group record of these machines, each with allocations of a few jobs."""
     machines = {}
-    for name in names:
+    for name in vm_names:
         holds = [
             AllocationRecord(
                 f"job-{draw.randrange(4)}",
@@ -240,15 +247,15 @@
     return msgspec.to_builtins(GroupRecord("big", "a", machines, done))
 
 
-def drawn_change(draw: random.Random, value: dict, group: int) -> dict:
-    """The record with one machine changed, gone or new, or other completed tasks."""
+def draw_changed_group(draw: random.Random, value: dict, group: int) -> dict:
+    """The group record with one machine changed, removed or added, and sometimes other completed tasks."""
     value = msgspec.msgpack.decode(msgspec.msgpack.encode(value))
-    machines, new = value["machines"], drawn_group(draw, [f"vm-{group}-{draw.randrange(5)}"])
+    machines, new = value["machines"], draw_group(draw, [f"vm-{group}-{draw.randrange(5)}"])
     name, record = next(iter(new["machines"].items()))
     if draw.random() < 0.2:
         machines.pop(name, None)
     elif name in machines and machines[name].get("holds") and draw.random() < 0.6:
-        # As a fold, a placement or a stop changes it.
+        # The changes that a fold (the transaction that records reports), a placement or a preemption makes.
         holds = machines[name]["holds"]
         draw.choice([lambda: holds.pop(0), lambda: holds.extend(record.get("holds", ())), holds.reverse])()
     else:
@@ -258,13 +265,13 @@
     return value
 
 
-def shown(cluster_state: ClusterState) -> dict:
-    """What a cluster state says of holds, usage and jobs, in no order."""
+def contents(cluster_state: ClusterState) -> dict:
+    """What a cluster state holds about allocations, usage and jobs, independent of their order."""
     holds = {
         job: {key: (hold.record, hold.tasks) for key, hold in held.items()}
         for job, held in cluster_state.allocations.items()
     }
-    names = ["crew", "free"]
+    teams = ["crew", "free"]
     leaving = {}
     for job, held in cluster_state.allocations.items():
         live = cluster_state.jobs.get(job)
@@ -282,7 +289,7 @@
         "machines": {name: (machine.raw, machine.group) for name, machine in cluster_state.machines.items()},
         "holds": holds,
         "usage": {
-            (name, by): cluster_state.team_usage(name, by) for name in names for by in (None, "berth-0", "berth-1")
+            (name, by): cluster_state.team_usage(name, by) for name in teams for by in (None, "berth-0", "berth-1")
         },
         "waiting": dict(cluster_state.waiting()),
         "completed": set(cluster_state.completed()),
@@ -301,12 +308,12 @@
         kind = draw.random()
         if kind < 0.25:
             key = f"{LIVE}job-{draw.randrange(4)}"
-            record = JobRecord(CREW, "berth-0", 5, draw.choice([0, 1, 2]), "", draw.choice([0, 0, 1]))
+            record = JobRecord(TEAM_JOB, "berth-0", 5, draw.choice([0, 1, 2]), "", draw.choice([0, 0, 1]))
             value = None if draw.random() < 0.2 else msgspec.to_builtins(record)
         else:
             group = draw.randrange(2)
             key = f"{GROUP}big.{group}"
-            plain[key] = drawn_change(draw, plain.get(key) or drawn_group(draw, []), group)
+            plain[key] = draw_changed_group(draw, plain.get(key) or draw_group(draw, []), group)
             value = plain[key]
             if packed:
                 before = stored.get(key)
@@ -318,8 +325,8 @@
             stored[key] = value, version
             cluster_state.put(key, value, version)
         if draw.random() < 0.5:
-            shown(cluster_state)
-    anew = ClusterState()
+            contents(cluster_state)
+    rebuilt = ClusterState()
     for key, (value, version) in stored.items():
-        anew.put(key, value, version)
-    assert shown(cluster_state) == shown(anew)
+        rebuilt.put(key, value, version)
+    assert contents(cluster_state) == contents(rebuilt)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""Every rule under generated faults, with the real cores and stand-ins for all around them."""
+"""All rules of the model under random faults, with the real cores and simulated services around them."""
 
 import os
 import random
@@ -46,7 +46,8 @@
     st.tuples(st.just("cancel"), st.integers(0, 9)),
     st.tuples(st.just("resubmit"), st.integers(0, 9)),
 )
-OF_A_WORKER = {"cut_worker", "hang", "sick", "hold_orders", "hang_no_cloud"}
+"""A fault: its kind, and what `apply` takes with it."""
+WORKER_FAULTS = {"cut_worker", "hang", "sick", "hold_orders", "hang_no_cloud"}
 JOB = st.fixed_dictionaries(
     {
         "shape": st.sampled_from(["batch", "batch", "gang", "service"]),
@@ -67,9 +68,10 @@
 
 
 def apply(model: Model, fault: tuple) -> None:
+    """Begin a fault now; it ends by itself."""
     kind, *rest = fault
     names = sorted(model.workers)
-    name = names[rest[0] % len(names)] if names and kind in OF_A_WORKER else None
+    name = names[rest[0] % len(names)] if names and kind in WORKER_FAULTS else None
     if kind == "crash":
         model.crash(rest[0], rest[1])
     elif kind == "crash_all":
@@ -78,7 +80,7 @@
     elif kind == "cut_state":
         model.cut(f"c{rest[0]}", "state", rest[1], rest[2])
     elif kind == "cut_worker" and name:
-        # 3: from all controllers
+        # 3 stands for all controllers.
         for number in range(3) if rest[1] == 3 else (rest[1],):
             model.cut(f"c{number}", name, rest[2], rest[3])
     elif kind == "cut_peer":
@@ -109,13 +111,13 @@
         model.roaming_until = model.now + int(rest[1] * SECOND)
         model.at(3 * SECOND // 2, lambda: model.lose_machine(rest[0]))
     elif kind == "hang_no_cloud" and name:
-        # Silent, and nobody can delete it: what it holds must not be freed.
+        # The machine is silent, and the cloud can't delete it: its allocations must not be released.
         model.hung.add(name)
         model.cloud.down = True
         model.at(int(rest[1] * SECOND), lambda: model.wake(name))
         model.at(int((rest[1] + 1) * SECOND), lambda: setattr(model.cloud, "down", False))
     elif kind == "island":
-        # A controller that hears nobody but workers, while others cancel jobs.
+        # A controller is cut off from all but the workers, while jobs are cancelled at other controllers.
         for target in ("state", f"c{(rest[0] + 1) % 3}", f"c{(rest[0] + 2) % 3}", "user"):
             model.cut(f"c{rest[0]}", target, rest[1], False)
         for job_id in sorted(model.jobs):
@@ -123,7 +125,7 @@
     elif kind == "halt":
         model.hosts[rest[0]].halts_us = int(rest[1] * SECOND)
     elif kind == "silent":
-        # Nothing comes back from it, and no connection breaks.
+        # All messages from and to it are lost, and no connection breaks.
         for target in ("state", "cloud", "user", *names, f"c{(rest[0] + 1) % 3}", f"c{(rest[0] + 2) % 3}"):
             model.cut(f"c{rest[0]}", target, rest[1], False)
     elif kind == "refused":
@@ -132,7 +134,7 @@
         model.boot_factor = rest[0]
         model.at(int(rest[1] * SECOND), lambda: setattr(model, "boot_factor", 1.0))
     elif kind == "mistake" and f"job-{rest[0]}" in model.jobs:
-        # It fails wherever it is tried, until its user cancels it.
+        # The job fails on every machine until its user cancels it.
         model.mistaken.add(f"job-{rest[0]}")
         model.at(40 * SECOND, lambda: model.cancel(f"job-{rest[0]}"))
     elif kind == "storm":
@@ -153,17 +155,18 @@
 
 
 def begin(model: Model, seed: int, jobs: list[dict], within_s: float = 50) -> None:
-    """Check the rules from now on, and submit the jobs at random moments of the first seconds."""
+    """Check the rules from now on, and submit the jobs at random moments of the first `within_s` seconds."""
     model.checks()
     model.look_closely()
     model.ask_unknown()
-    spread = random.Random(seed)
+    moments = random.Random(seed)
     for n, spec in enumerate(jobs):
         spec = submission(f"job-{n}", **spec)
-        model.at(int(spread.uniform(0, within_s) * SECOND), lambda spec=spec: model.submit(spec))
+        model.at(int(moments.uniform(0, within_s) * SECOND), lambda spec=spec: model.submit(spec))
 
 
 def strike(model: Model, faults: list[tuple]) -> None:
+    """Schedule faults, each with its time (s)."""
     for at_s, fault in faults:
         model.at(int(at_s * SECOND), lambda fault=fault: apply(model, fault))
 
@@ -177,7 +180,10 @@
 
 
 def finish(model: Model, seconds: float) -> None:
-    """Whatever happened, service resumes by itself."""
+    """Cancel the services, and check after `seconds` that all accepted jobs have ended.
+
+    Also checks that the state service refused no more transactions as too large than allowed.
+    """
     for job_id, job in model.jobs.items():
         if job.spec["shape"] == "service" and job.accepted_us is not None:
             model.cancel(job_id)
@@ -185,10 +191,10 @@
     for job_id, job in model.jobs.items():
         if job.accepted_us is not None:
             assert job.told in ("done", "cancelled"), f"{job_id} is {job.told}: {job.spec}"
-    assert len(model.state.refused) <= model.excused, model.state.refused
+    assert len(model.state.refused) <= model.allowed_refusals, model.state.refused
 
 
-# Without shrinking, a failure is shown as it was drawn; with it, one takes minutes.
+# Without shrinking, which takes minutes for each failure.
 @settings(max_examples=RUNS, phases=[Phase.explicit, Phase.generate], suppress_health_check=list(HealthCheck))
 @given(
     st.integers(0, 10**6),
@@ -203,15 +209,15 @@
     finish(model, 150)
 
 
-STEADY = """
+TRACE_SCRIPT = """
 import hashlib
 from tests.model import Model, submission
 seen, model = hashlib.sha256(), Model(4, 3)
 send = model.send
-def told(source, call, deliver):
+def record(source, call, deliver):
     seen.update(f"{model.now} {source} {call}".encode())
     send(source, call, deliver)
-model.send = told
+model.send = record
 model.run(3)
 for n in range(24):
     needs = {"waits_on": [f"job-{n - 1}"]} if n % 4 == 3 else {}
@@ -223,12 +229,12 @@
 """
 
 
-def test_the_same_is_done_whatever_strings_hash_to():
-    # Found as a test that failed with some seeds of Python's hashes only: workers were told in the order of a set.
+def test_the_requests_do_not_depend_on_the_hashes_of_strings():
+    # Guards against sending commands in the order of a set, which depends on the seed of Python's string hashes.
     root = Path(__file__).resolve().parent.parent
-    told = [
+    traces = [
         subprocess.run(
-            [sys.executable, "-c", STEADY],
+            [sys.executable, "-c", TRACE_SCRIPT],
             cwd=root,
             env={**os.environ, "PYTHONHASHSEED": seed},
             check=True,
@@ -237,5 +243,5 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert int(told[0].split()[0]) > 40
-    assert told[0] == told[1]
+    assert int(traces[0].split()[0]) > 40
+    assert traces[0] == traces[1]
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Every rule under all troubles of the model together, and that each trouble and each check does what it says."""
+"""All rules of the model under all its troubles together; and tests of the troubles and of the checks themselves."""
 
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
@@ -11,27 +11,27 @@
 from tests.test_addition import NEW, at_work, trouble
 from tests.test_model import FAULT, JOB, RUNS, begin, finish
 
-SHARES, HOSTS, MACHINES = st.floats(0.1, 0.9), st.integers(0, 2), st.integers(0, 11)
-ONE_OR_ALL = st.sampled_from([None, 0, 1, 2])
-LATEST = st.one_of(
-    st.tuples(st.just("lose_answers"), SHARES, st.floats(2, 20), ONE_OR_ALL),
-    st.tuples(st.just("write_late"), SHARES, st.floats(2, 20), ONE_OR_ALL),
-    st.tuples(st.just("report_late"), SHARES, st.floats(5, 40)),
-    st.tuples(st.just("keep_reports"), SHARES, st.floats(5, 40)),
-    st.tuples(st.just("hold_commands"), SHARES, st.floats(5, 40)),
-    st.tuples(st.just("mute"), MACHINES, st.integers(1, 12), st.floats(3, 30)),
-    st.tuples(st.just("cut_from_state_and_peers"), HOSTS, st.floats(3, 30), st.booleans()),
-    st.tuples(st.just("refuse"), HOSTS, st.floats(3, 30), st.sampled_from(list(Refusal))),
+SHARE, HOST_NUMBER, MACHINE_INDEX = st.floats(0.1, 0.9), st.integers(0, 2), st.integers(0, 11)
+ONE_CONTROLLER_OR_ALL = st.sampled_from([None, 0, 1, 2])
+TROUBLE = st.one_of(
+    st.tuples(st.just("lose_answers"), SHARE, st.floats(2, 20), ONE_CONTROLLER_OR_ALL),
+    st.tuples(st.just("write_late"), SHARE, st.floats(2, 20), ONE_CONTROLLER_OR_ALL),
+    st.tuples(st.just("report_late"), SHARE, st.floats(5, 40)),
+    st.tuples(st.just("keep_reports"), SHARE, st.floats(5, 40)),
+    st.tuples(st.just("hold_commands"), SHARE, st.floats(5, 40)),
+    st.tuples(st.just("mute"), MACHINE_INDEX, st.integers(1, 12), st.floats(3, 30)),
+    st.tuples(st.just("cut_from_state_and_peers"), HOST_NUMBER, st.floats(3, 30), st.booleans()),
+    st.tuples(st.just("refuse"), HOST_NUMBER, st.floats(3, 30), st.sampled_from(list(Refusal))),
     st.tuples(
-        st.just("refused_then_out"), HOSTS, st.floats(0.2, 5), st.floats(5, 30), st.sampled_from(list(Refusal))
+        st.just("refused_then_out"), HOST_NUMBER, st.floats(0.2, 5), st.floats(5, 30), st.sampled_from(list(Refusal))
     ),
-    st.tuples(st.just("cancel_running"), st.integers(1, 10), st.sampled_from([0.0, 5.0, 11.0, 25.0]), MACHINES),
-    st.tuples(st.just("cancel_at_end"), SHARES, st.floats(5, 40)),
+    st.tuples(st.just("cancel_running"), st.integers(1, 10), st.sampled_from([0.0, 5.0, 11.0, 25.0]), MACHINE_INDEX),
+    st.tuples(st.just("cancel_at_end"), SHARE, st.floats(5, 40)),
     st.tuples(st.just("odd_requests"), st.floats(5, 30)),
     st.tuples(st.just("boot_quickly"), st.floats(5, 60)),
     st.tuples(st.just("leaders_change"), st.integers(2, 8), st.floats(0.1, 6)),
 )
-NAMED = {
+MODEL_METHODS = {
     "lose_answers",
     "write_late",
     "report_late",
@@ -44,18 +44,19 @@
     "odd_requests",
     "boot_quickly",
 }
-ALL = st.lists(st.tuples(st.floats(5, 60), st.one_of(LATEST, LATEST, FAULT, NEW)), min_size=8, max_size=18)
+ALL_FAULTS = st.lists(st.tuples(st.floats(5, 60), st.one_of(TROUBLE, TROUBLE, FAULT, NEW)), min_size=8, max_size=18)
 
 
-def strike(model: Model, fault: tuple) -> None:
+def begin_fault(model: Model, fault: tuple) -> None:
+    """Begin a fault now; it ends by itself."""
     kind, *rest = fault
-    if kind in NAMED:
+    if kind in MODEL_METHODS:
         getattr(model, kind)(*rest)
     elif kind == "mute":
         for name in (sorted(model.workers) * 2)[rest[0] :][: rest[1]]:
             model.mute(name, rest[2])
     elif kind == "refused_then_out":
-        # Refused alone as jobs are called off, and then everybody is.
+        # While jobs are cancelled, the state service first refuses one controller, then all.
         number, first_s, out_s, how = rest
         model.refuse(number, first_s + out_s, how)
         model.cancel_running(4)
@@ -68,6 +69,7 @@
 
 
 def end_leader(model: Model, back_s: float) -> None:
+    """End the process of the fleet leader; it starts again after `back_s`."""
     for host in model.hosts:
         if host.core is not None and host.core.runner.running:
             model.crash(host.number, back_s)
@@ -77,7 +79,7 @@
     model = Model(seed, hosts, OperatorSettings(group_size=group_size))
     begin(model, seed, jobs)
     for at_s, fault in faults:
-        model.at(int(at_s * SECOND), lambda fault=fault: strike(model, fault))
+        model.at(int(at_s * SECOND), lambda fault=fault: begin_fault(model, fault))
     model.run(110)
     model.calm()
     return model
@@ -89,7 +91,7 @@
 @given(
     st.integers(0, 10**6),
     st.lists(JOB, min_size=8, max_size=14),
-    ALL,
+    ALL_FAULTS,
     st.sampled_from([3, 3, 5]),
     st.sampled_from([None, 1, 2]),
 )
@@ -98,19 +100,19 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 1 + max(RUNS // 30, 2)))
-def test_no_rule_breaks_in_a_night_of_meetings(seed):
+def test_no_rule_breaks_in_a_run_with_coinciding_troubles(seed):
     nights.play(seed)
 
 
-# Each trouble is brought about
+# Each trouble has its effect
 
 SERVICE = {"shape": "service", "pieces": 6, "crew": "free", "hulls": ["small"]}
 
 
-def busy(seed: int = 3, looks: bool = True) -> Model:
-    """A fleet with tasks on it, more to come for some time, and users that look closely."""
+def busy_model(seed: int = 3, close_looks: bool = True) -> Model:
+    """A model with running tasks and more jobs to be submitted; with `close_looks`, users query closely."""
     model, _ = at_work(seed)
-    if looks:
+    if close_looks:
         model.look_closely()
     for n in range(20, 40):
         spec = submission(f"job-{n}", pieces=2, crew="free", hulls=["small"], expect_s=6.0)
@@ -136,7 +138,7 @@
     ids=lambda value: "-".join(sorted(value)).replace(" ", "_") if isinstance(value, set) else "",
 )
 def test_a_trouble_comes_about_and_no_rule_breaks(begin_trouble, happened):
-    model = busy()
+    model = busy_model()
     begin_trouble(model)
     model.run(35)
     assert happened <= set(model.happened), model.happened
@@ -146,7 +148,7 @@
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_a_command_that_is_held_up_is_executed_late_where_the_machine_has_heard_nothing_newer(seed):
-    model = busy(seed)
+    model = busy_model(seed)
     model.hold_commands(1.0, 12)
     for at_s in (1, 5, 9):
         for name in sorted(model.workers):
@@ -158,7 +160,7 @@
 
 
 def test_kept_reports_come_as_a_new_leader_begins_and_as_a_machine_gets_a_new_owner():
-    model = busy()
+    model = busy_model()
     model.keep_reports(0.5, 30)
     model.run(3)
     end_leader(model, 3)
@@ -170,13 +172,13 @@
 
 
 def test_odd_requests_are_refused_in_each_stage_of_a_start():
-    model = busy()
+    model = busy_model()
     model.odd_requests(25)
     for number in range(3):
         model.crash(number, 1 + number)
     model.run(30)
     assert {"odd request answered 400", "odd request answered 422"} <= set(model.happened)
-    # By one that can't judge yet.
+    # A controller that has just started can't check the submission yet.
     assert "odd request answered 503" in model.happened
     finish(model, 60)
 
@@ -216,11 +218,11 @@
     assert model._path(next(iter(model.workers)), "c0") is not None
 
 
-# Each check bites
+# Each check detects a fault
 
 
-def without_barriers(model: Model, number: int) -> None:
-    """Let a controller answer from what it has seen by chance."""
+def skip_barriers(model: Model, number: int) -> None:
+    """Let a controller answer from its cluster state without bringing it up to date."""
     follower = model.hosts[number].core.follower
 
     def barrier(patient: bool = False):
@@ -231,20 +233,20 @@
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-def test_close_looks_see_a_controller_that_answers_from_an_old_picture(seed):
-    # Polls every two seconds alone do not.
-    model = busy(seed, looks=False)
-    without_barriers(model, 1)
+def test_close_looks_detect_a_controller_that_answers_from_an_outdated_cluster_state(seed):
+    # Polls every two seconds alone don't detect it.
+    model = busy_model(seed, close_looks=False)
+    skip_barriers(model, 1)
     model.run(20)
-    model = busy(seed)
-    without_barriers(model, 1)
+    model = busy_model(seed)
+    skip_barriers(model, 1)
     with pytest.raises(RuleBroken, match="forgotten: .* gets 404|went_back"):
         model.run(20)
 
 
 @pytest.mark.parametrize("state", ["pending", "cancelled"])
-def test_close_looks_see_one_that_says_something_else_of_a_job_that_is_done(state):
-    model = busy()
+def test_close_looks_detect_a_controller_that_tells_another_state_of_a_done_job(state):
+    model = busy_model()
     jobs = model.hosts[2].core.jobs
     poll = jobs.poll
 
@@ -259,8 +261,8 @@
         model.run(20)
 
 
-def test_close_looks_see_one_that_accepts_a_job_anew():
-    model = busy()
+def test_close_looks_detect_a_controller_that_accepts_a_known_job_as_new():
+    model = busy_model()
     jobs = model.hosts[2].core.jobs
     jobs.submit = lambda request_id, body, handed=False: jobs.kernel.answer(
         request_id, 201, {"name_id": body["name_id"], "status": "pending"}
@@ -269,8 +271,8 @@
         model.run(20)
 
 
-def without_kills(model: Model) -> None:
-    """Let no controller stop any task."""
+def prevent_kills(model: Model) -> None:
+    """Prevent all controllers from killing tasks."""
     for host in model.hosts:
         desk = host.core.desk
         host.core.cluster_state.is_over = lambda job_id: False
@@ -280,8 +282,8 @@
         ]
 
 
-def with_a_service(seed: int = 3) -> Model:
-    """A job that runs until it is cancelled, and no checks but those that come by themselves."""
+def model_with_service(seed: int = 3) -> Model:
+    """A model with a running service, and only the checks that are always on."""
     model = Model(seed)
     model.run(3)
     model.submit(submission("job-0", **SERVICE))
@@ -290,18 +292,18 @@
     return model
 
 
-def test_the_checker_sees_a_cancelled_task_at_the_exact_moment():
-    model = with_a_service()
-    without_kills(model)
+def test_a_task_of_a_cancelled_job_is_detected_at_the_time_limit():
+    model = model_with_service()
+    prevent_kills(model)
     model.cancel("job-0")
     with pytest.raises(RuleBroken, match="ran_cancelled: job-0 is on"):
         model.run(CANCEL_S + 5)
     assert model.now - model.jobs["job-0"].cancelled_us == CANCEL_S * SECOND + 1
 
 
-def test_the_checker_sees_a_cancelled_task_that_goes_on_after_its_machine_hung():
-    model = with_a_service()
-    without_kills(model)
+def test_a_task_of_a_cancelled_job_that_resumes_after_its_machine_hung_is_detected():
+    model = model_with_service()
+    prevent_kills(model)
     model.cancel("job-0")
     model.run(CANCEL_S - 1)
     assert model.jobs["job-0"].told == "cancelled"
@@ -311,8 +313,8 @@
         model.run(5)
 
 
-def test_a_machine_that_hung_beyond_its_lease_goes_on_with_nothing():
-    model = with_a_service()
+def test_a_machine_that_hung_beyond_its_lease_resumes_without_tasks():
+    model = model_with_service()
     model.cloud.down = True
     for name in sorted(model.workers):
         model.hang(name, CANCEL_S + 5)
@@ -351,31 +353,32 @@
 # Neglect
 
 
-def unplaced(model: Model, *names: str) -> None:
-    """Let no controller place these jobs."""
+def prevent_placement(model: Model, *names: str) -> None:
+    """Prevent all controllers from placing these jobs."""
     for host in model.hosts:
         presence = host.core.presence
         mine = presence.mine
         presence.mine = lambda job, mine=mine: job.id not in names and mine(job)
 
 
-def waits(model: Model, **over) -> None:
-    unplaced(model, "job-90")
-    model.submit(submission("job-90", **{"crew": "free", "hulls": ["small"], **over}))
+def submit_unplaced(model: Model, **changes) -> None:
+    """Submit a job that no controller places, and end the troubles."""
+    prevent_placement(model, "job-90")
+    model.submit(submission("job-90", **{"crew": "free", "hulls": ["small"], **changes}))
     model.run(1)
     model.calm()
 
 
 @pytest.mark.parametrize("shape", ["batch", "gang"])
-def test_the_checker_sees_a_job_that_waits_beside_room(shape):
-    model = with_a_service()
-    waits(model, shape=shape, pieces=2, cpus=1.0)
-    with pytest.raises(RuleBroken, match="neglected: job-90 has waited for 90 s beside room on vm-"):
+def test_a_job_that_waits_beside_free_capacity_is_detected(shape):
+    model = model_with_service()
+    submit_unplaced(model, shape=shape, pieces=2, cpus=1.0)
+    with pytest.raises(RuleBroken, match="neglected: job-90 has waited for 90 s beside free capacity on vm-"):
         model.run(110)
 
 
 @pytest.mark.parametrize(
-    "over",
+    "changes",
     [
         {"hulls": ["big"]},
         {"cpus": 3.5},
@@ -385,24 +388,24 @@
     ],
     ids=str,
 )
-def test_a_job_without_room_is_not_neglected(over):
-    model = with_a_service()
+def test_a_job_without_free_capacity_does_not_count_as_neglected(changes):
+    model = model_with_service()
     model.cloud.capacity = len(model.cloud.alive())
-    waits(model, **{"cpus": 1.0, **over})
+    submit_unplaced(model, **{"cpus": 1.0, **changes})
     model.run(110)
 
 
-def test_a_job_whose_team_is_at_its_limit_is_not_neglected():
-    model = with_a_service()
+def test_a_job_whose_team_is_at_its_limit_does_not_count_as_neglected():
+    model = model_with_service()
     model.submit(submission("job-1", shape="service", pieces=12, cpus=2.0, hulls=["small"]))
     model.run(20)
     assert model._team_uses() == 24.0
-    waits(model, crew="crew", cpus=1.0)
+    submit_unplaced(model, crew="crew", cpus=1.0)
     model.run(110)
 
 
-def test_the_checker_sees_a_job_that_is_accepted_though_it_can_never_run():
-    model = busy()
+def test_acceptance_of_a_job_that_can_never_run_is_detected():
+    model = busy_model()
     for host in model.hosts:
         host.core.jobs.submitting.refusal = lambda spec: None
     model.odd_requests(5)
@@ -410,8 +413,8 @@
         model.run(5)
 
 
-def test_the_checker_sees_a_job_that_is_accepted_though_a_field_is_missing():
-    model = busy()
+def test_acceptance_of_a_job_that_lacks_a_field_is_detected():
+    model = busy_model()
     for host in model.hosts:
         jobs = host.core.jobs
         submit = jobs.submit
