--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -1,8 +1,9 @@
 """Exhaustive search over the orders in which a few messages between controllers and the state service arrive.
 
-The controllers are the real cores, of which only the follower runs by itself, so that no other traffic blurs the
-search.  A schedule decides, again and again, what happens next: the state service executes a request, a controller
-gets an answer, or a user asks.  A controller's clock moves on only when its follower rests and somebody waits for it.
+The controllers are the real cores, but only the follower (which keeps the cluster state up to date) runs by itself:
+other traffic would make the search larger.  A schedule chooses each next step: the state service executes a request,
+a controller gets an answer, or a user sends a request.  A controller's clock advances only when its follower is idle
+and a coroutine waits for it.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
 
 TOKEN = 7
 JOB = "job-1"
-"""The job that scenarios are about."""
+"""The job of each scenario."""
 ELSEWHERE = -1
-"""Stands for the number of a controller that takes no other part."""
+"""Stands for the number of a controller that only writes, and is not simulated."""
 BEGIN_US = 1000 * SECOND_US
 SMALL = {
     "name": "small",
@@ -51,59 +52,59 @@
 
 @dataclass
 class Chooser:
-    """Follows a schedule as far as it is given, then takes the first choice each time; notes what was possible."""
+    """Follows a schedule to its end, then takes the first option each time; records the numbers of options."""
 
     schedule: list[int]
-    trail: list[tuple[int, int]] = field(default_factory=list)
+    choices: list[tuple[int, int]] = field(default_factory=list)
 
     def choose(self, options: int) -> int:
-        """The number of the option to take."""
-        step = len(self.trail)
+        """The number of the option to take, out of `options`."""
+        step = len(self.choices)
         chosen = self.schedule[step] if step < len(self.schedule) else 0
-        self.trail.append((chosen, options))
+        self.choices.append((chosen, options))
         return chosen
 
     def next_schedule(self) -> list[int] | None:
         """The schedule after this one, in depth-first order; None after the last."""
-        trail = list(self.trail)
-        while trail and trail[-1][0] + 1 == trail[-1][1]:
-            trail.pop()
-        if not trail:
+        choices = list(self.choices)
+        while choices and choices[-1][0] + 1 == choices[-1][1]:
+            choices.pop()
+        if not choices:
             return None
-        return [chosen for chosen, _ in trail[:-1]] + [trail[-1][0] + 1]
+        return [chosen for chosen, _ in choices[:-1]] + [choices[-1][0] + 1]
 
 
 @dataclass
 class Message:
-    """A request to the state service, and its answer once it was executed."""
+    """A request to the state service, and its answer once it has been executed."""
 
     node: int
     call_id: int
     call: Call
     reply: Reply | None = None
     executed: int | None = None
-    """Stands for what the state service held then; None before."""
+    """A hash that stands for the content of the state service at the execution; None before it."""
 
     @property
     def is_read(self) -> bool:
-        """Whether it changes nothing."""
+        """Whether the request writes nothing."""
         return self.call.path.startswith(("/follow", "/store"))
 
 
 @dataclass
 class Question:
-    """What a user asked, and the status of the answer if it told nothing."""
+    """A request of a user, and the status of its answer if that told no state."""
 
     node: int
     kind: str
     job_id: str
     asked: int
-    """Questions and answers are counted: the user knew all answers with a smaller number."""
+    """The request's number: questions and answers are counted together, and the user knew all earlier answers."""
     refused: int = 0
 
 
 def no_announcement(job_id: str) -> Fiber[None]:
-    """Stands for an announcement of a cancellation that takes no time and reaches nobody."""
+    """Replaces the announcement of a cancellation to peers: takes no time and sends nothing."""
     return
     yield
 
@@ -118,25 +119,25 @@
         core = self.core
         core.kernel.strict = True
         core.presence.incarnation = 1
-        # No rule rests on what peers are told of cancellations, and it would make the search larger.
+        # No rule depends on announcements of cancellations to peers, and they would make the search larger.
         core.peers.announcer.announce = no_announcement
         core.kernel.advance(self.now_us, self.now_us)
-        for lane in (core.store.requests, core.store.changes):
-            # Budgets are not the matter here.
-            lane.bucket.rate = lane.bucket.level = 1e9
-            lane.bucket.at_us = self.now_us
+        for limiter in (core.store.requests, core.store.changes):
+            # Request and write budgets must not delay a message here.
+            limiter.bucket.rate = limiter.bucket.level = 1e9
+            limiter.bucket.at_us = self.now_us
         core.kernel.forever(core.follower.run, 0)
         self.inputs = 0
-        """Stands for all that it was given, which decides its state."""
+        """A hash of all inputs so far, which determine the state of the controller."""
 
     def note(self, given: Any) -> None:
-        """Something was given to it."""
+        """Add an input to the hash of inputs."""
         self.inputs = hash((self.inputs, given))
 
 
 @dataclass
 class Action:
-    """Something that is to happen once at a moment of the search's choice."""
+    """Something that happens once, at a moment that the search chooses, once `ready` holds."""
 
     name: str
     node: int
@@ -145,7 +146,7 @@
 
 
 class Play:
-    """One schedule of a scenario, from its beginning."""
+    """A run of a scenario from its beginning, by one schedule."""
 
     def __init__(self, state: State, hosts: int, actions: list[Action], chooser: Chooser) -> None:
         self.state = state
@@ -157,57 +158,61 @@
         self.answers = AnswerHistory()
         self.history: list[str] = []
         self.written = 0
-        """Stands for the transactions that were executed, in their order: what is in the state service."""
-        self._moments = 0
+        """A hash of the executed transactions in their order; it stands for the state service's content."""
+        self._event_count = 0
         self._read_last: Message | None = None
-        """What was read without its answer having arrived: a write has to follow."""
+        """The last read whose execution was split from the arrival of its answer: a write has to follow it."""
         for node in self.nodes:
             self._carry_out(node, node.core.kernel.run())
         while self.pending:
-            # Everybody begins with the state as it is.
+            # Every controller begins with an up-to-date cluster state.
             self._arrive(self.pending[0])
 
-    # What the scenario's actions use
+    # Used by the actions of scenarios
 
     def ask(self, kind: str, node: int, method: str, path: str, body: Any = None, job_id: str = JOB) -> None:
-        """A user's request arrives at a controller."""
-        self._moments += 1
+        """Let a user's request arrive at a controller."""
+        self._event_count += 1
         request_id = len(self.questions) + 1
-        self.questions[request_id] = Question(node, kind, job_id, self._moments)
+        self.questions[request_id] = Question(node, kind, job_id, self._event_count)
         self.history.append(f"ask {kind} {node}")
-        at = self.nodes[node]
-        at.note((kind, path))
-        self._carry_out(at, at.core.request(at.now_us, at.now_us, request_id, method, path, body))
+        controller = self.nodes[node]
+        controller.note((kind, path))
+        self._carry_out(
+            controller, controller.core.request(controller.now_us, controller.now_us, request_id, method, path, body)
+        )
 
     def commit(self, node: int, build: Callable[[Controller], Txn | None], urgency: Urgency = Urgency.FREE) -> None:
-        """A controller changes a record, as its other duties do."""
-        at = self.nodes[node]
-        at.note("commit")
-        at.core.kernel.spawn(at.core.follower.commit(lambda: build(at.core), 1, urgency, "test"))
-        self._carry_out(at, at.core.kernel.run())
+        """Let a controller commit the transaction that `build` makes, as its other components do."""
+        controller = self.nodes[node]
+        controller.note("commit")
+        controller.core.kernel.spawn(
+            controller.core.follower.commit(lambda: build(controller.core), 1, urgency, "test")
+        )
+        self._carry_out(controller, controller.core.kernel.run())
 
     def write_elsewhere(self, key: str, value: Any) -> None:
-        """A change by somebody who takes no other part is on its way; nobody waits for its answer."""
+        """Send a write of a controller that is not simulated; nobody waits for its answer."""
         body = {"guards": [], "apply": [{"put": key, "value": value}]}
         call = Call("state", "POST", "/txn", body)
         self.pending.append(Message(ELSEWHERE, len(self.history), call))
         self.history.append(f"writes {key}")
 
     def told(self, *states: str) -> bool:
-        """Whether a user was told one of these states of the job that the scenario is about."""
+        """Whether a user was told one of these states of the scenario's job."""
         return self.answers.told(JOB, *states)
 
     def ending(self) -> tuple[str, ...]:
-        """What was told, in the order of the answers, and the statuses of what was refused."""
+        """What users were told, in the order of the answers, and the statuses of refused requests."""
         told = [f"{heard.kind}: {heard.told}" for heard in self.answers.heard.get(JOB, ())]
         return (*told, *(f"{q.kind}: {q.refused}" for q in self.questions.values() if q.refused))
 
     # The search
 
     def run(self, visited: set[Any]) -> None:
-        """Go on to the end, or to where another schedule has been."""
+        """Run to the end, or to a state that another schedule has visited."""
         while steps := self._steps():
-            if len(self.chooser.trail) >= len(self.chooser.schedule):
+            if len(self.chooser.choices) >= len(self.chooser.schedule):
                 mark = self._mark()
                 if mark in visited:
                     return
@@ -215,21 +220,22 @@
             steps[self.chooser.choose(len(steps))]()
 
     def _steps(self) -> list[Callable[[], None]]:
-        """All that may happen next.
+        """All steps that are possible next.
 
-        Reads commute with each other, so one is carried out apart from its answer's arrival only just before a write.
+        Reads commute with each other, so a read is executed in a step of its own, before its answer arrives, only
+        directly before a write.  Otherwise its execution and the arrival of the answer are one step.
         """
         reads = [message for message in self.pending if message.is_read and message.reply is None]
         writes = [message for message in self.pending if not message.is_read and message.reply is None]
         steps = [partial(self._execute, message) for message in writes]
         if writes:
-            steps += [partial(self._read_before_write, message) for message in reads if self._may_read(message)]
+            steps += [partial(self._read_before_write, message) for message in reads if self._may_read_next(message)]
         if self._read_last is not None:
             return steps
         steps += [partial(self._arrive, message) for message in self.pending if message not in writes]
         return steps + [partial(self._start, action) for action in self.actions if action.ready(self)]
 
-    def _may_read(self, message: Message) -> bool:
+    def _may_read_next(self, message: Message) -> bool:
         last = self._read_last
         return last is None or (message.node, message.call_id) > (last.node, last.call_id)
 
@@ -238,7 +244,7 @@
         self._read_last = message
 
     def _arrive(self, message: Message) -> None:
-        """An answer arrives; what it answers is carried out just before if it was not yet."""
+        """Let an answer arrive; its request is executed just before if it wasn't yet."""
         if message.reply is None:
             self._execute(message)
         self.pending.remove(message)
@@ -249,7 +255,7 @@
         action.start(self)
 
     def _mark(self) -> Any:
-        """Equal where only the order of independent events differs: the same state then follows from it."""
+        """A hash of the current state; equal after schedules that differ in the order of independent events only."""
         pending = sorted((m.node, m.call_id, str(m.executed)) for m in self.pending)
         nodes = tuple(node.inputs for node in self.nodes)
         left = tuple(action.name for action in self.actions)
@@ -284,16 +290,16 @@
             m.node == node.number and m.call.path.startswith(("/follow", "/store?")) for m in self.pending
         )
         if follower._waiters and not following:
-            # It rests, and somebody waits for its next round.
+            # The follower is idle, and a coroutine waits for its next round.
             node.now_us = node.core.kernel.next_wake_us() or node.now_us
             self._carry_out(node, node.core.wake(node.now_us, node.now_us))
 
     def _answered(self, answer: Answer) -> None:
-        self._moments += 1
+        self._event_count += 1
         question = self.questions[answer.request_id]
         if answer.status in (200, 201, 404):
             told = UNKNOWN if answer.status == 404 else answer.body["status"]
-            heard = Heard(question.job_id, question.kind, question.node, question.asked, self._moments, told)
+            heard = Heard(question.job_id, question.kind, question.node, question.asked, self._event_count, told)
             self.history.append(str(heard))
             self.answers.add(heard)
         else:
@@ -303,21 +309,21 @@
 
 @dataclass
 class Found:
-    """What a search came across."""
+    """The result of a search."""
 
     schedules: int = 0
     endings: set[tuple[str, ...]] = field(default_factory=set)
-    """What was told, as `kind: told`, in the schedules that came to their end."""
+    """What was told, as `kind: told`, in each schedule that came to its end."""
 
 
-def explore(begin: Callable[[Chooser], Play], most: int = 100_000) -> Found:
-    """Play all schedules of a scenario; `most` bounds their number, and being cut short by it is an error."""
+def explore(begin: Callable[[Chooser], Play], at_most: int = 100_000) -> Found:
+    """Play all schedules of a scenario; raises AssertionError if there are more than `at_most`."""
     found = Found()
     visited: set[Any] = set()
     schedule: list[int] | None = []
     while schedule is not None:
-        if found.schedules >= most:
-            raise AssertionError(f"more than {most} schedules")
+        if found.schedules >= at_most:
+            raise AssertionError(f"more than {at_most} schedules")
         chooser = Chooser(schedule)
         play = begin(chooser)
         play.run(visited)
@@ -328,11 +334,11 @@
     return found
 
 
-# The world that scenarios begin with
+# The state service's content at the beginning of scenarios
 
 
 def put(state: State, key: str, value: Any) -> None:
-    """Write a record as if a controller had."""
+    """Write a record, as a controller would."""
     status, _ = state.handle(BEGIN_US, "POST", "/txn", {"guards": [], "apply": [{"put": key, "value": value}]})
     assert status == 200
 
@@ -345,20 +351,20 @@
 
 
 def job_record(job_id: str, **over: Any) -> Any:
-    """The record of a job that was placed once."""
+    """The record of a job in its first attempt."""
     _, spec = parse_submission(submission(job_id, **over))
     return msgspec.to_builtins(JobRecord(spec, "berth-0", BEGIN_US, attempt=1))
 
 
 def group_record(machine: str, holds: dict[str, str], done: dict[str, str] | None = None) -> Any:
-    """A group of one machine, with the tasks that it holds and those that completed there, by job."""
+    """The record of a group of one machine, with its allocations and completed tasks by job."""
     room = [AllocationRecord(job_id, 1, tasks, "crew", 2.0, 0.0, 4.0, BEGIN_US) for job_id, tasks in holds.items()]
     record = MachineRecord(f"{machine}:1", token=TOKEN, holds=room)
     return msgspec.to_builtins(GroupRecord("small", "a", {machine: record}, done or {}))
 
 
 def running_job(pieces: int, done: int, **over: Any) -> State:
-    """A job whose tasks hold room on a machine each, in a group each, and of which the first ones completed."""
+    """A state service with one job: each task has a machine and group of its own, the first `done` have completed."""
     state = world()
     put(state, LIVE + JOB, job_record(JOB, pieces=pieces, **over))
     for task in range(pieces):
@@ -369,7 +375,7 @@
 
 
 def fold_task(core: Controller, task: int) -> Txn | None:
-    """What the owner of a machine writes once the task there has ended as done."""
+    """The transaction of a machine's owner after a report that the task there is done."""
     name, group = f"vm-{task}", core.cluster_state.groups[f"{GROUP}g{task}"]
     tasks = {(JOB, 1, task): TaskState("ended", "done")}
     report = Report(name, f"{name}:1", "small", "a", False, 1, 9, TOKEN, None, tasks)
@@ -378,8 +384,8 @@
     return fold.transaction()
 
 
-def sign_machine(core: Controller, task: int) -> Txn | None:
-    """What the owner of a machine writes when it takes it over: nothing about tasks."""
+def take_over_machine(core: Controller, task: int) -> Txn | None:
+    """The transaction of a controller that takes over a machine; it changes nothing about tasks."""
     name, group = f"vm-{task}", core.cluster_state.groups[f"{GROUP}g{task}"]
     report = Report(name, f"{name}:1", "small", "a", False, 1, 9, TOKEN + 1, None, {})
     fold = Fold(core.kernel, core.cluster_state, core.limits)
@@ -388,25 +394,25 @@
 
 
 def schedules_of(make_state: Callable[[], State], hosts: int, actions: list[Action]) -> Callable[[Chooser], Play]:
-    """A scenario for `explore`."""
+    """A scenario for `explore`: an initial state service, a number of controllers, and actions."""
     return lambda chooser: Play(make_state(), hosts, actions, chooser)
 
 
 def fold_by(node: int, task: int) -> Action:
-    """The owner of a machine writes down that the task there is done."""
+    """The owner of a machine records that the task there is done."""
     return Action("fold", node, lambda play: play.commit(node, lambda core: fold_task(core, task)))
 
 
 def fold_elsewhere(task: int) -> Action:
-    """The same by a controller that takes no other part."""
+    """A controller that is not simulated records that the task on a machine is done."""
 
     value = group_record(f"vm-{task}", {}, {JOB: str(task)})
     return Action("fold", ELSEWHERE, lambda play: play.write_elsewhere(f"{GROUP}g{task}", value))
 
 
 def sign_by(node: int, task: int) -> Action:
-    """A controller takes a machine over."""
-    return Action("sign", node, lambda play: play.commit(node, lambda core: sign_machine(core, task)))
+    """A controller takes over a machine."""
+    return Action("sign", node, lambda play: play.commit(node, lambda core: take_over_machine(core, task)))
 
 
 def cancel_at(node: int, ready: Callable[[Play], bool] = lambda play: True) -> Action:
@@ -415,7 +421,7 @@
 
 
 def poll_at(node: int, ready: Callable[[Play], bool] = lambda play: True) -> Action:
-    """A user asks for the job's state at a controller."""
+    """A user queries the job's state at a controller."""
     return Action("poll", node, lambda play: play.ask("poll", node, "GET", f"/submissions/{JOB}"), ready)
 
 
--- a/tests/nights.py
+++ b/tests/nights.py
@@ -1,8 +1,8 @@
-"""Nights of the model: meetings of several troubles within seconds, drawn from one seed.
+"""Simulated runs of the model ("nights"), in which several random troubles coincide within seconds.
 
     python -m tests.nights FIRST COUNT
 
-plays the nights FIRST to FIRST + COUNT - 1 and prints what broke on each, and what they brought about together.
+plays the runs with the seeds FIRST to FIRST + COUNT - 1; prints which rule each broke, and a sum of what happened.
 """
 
 from __future__ import annotations
@@ -18,42 +18,44 @@
 from tests.model_troubles import Refusal
 
 DRIFT_PPM = 500
+"""By how much clocks may run fast or slow."""
 STEP_S = 10
+"""How often a run is checked for its end."""
 TROUBLED_S, HELD_S = 90, 25
-"""How long troubles begin, and how long they may last after that."""
+"""How long new troubles may begin, and how long each may last."""
 BESIDE_SERVICES_S, CALM_S = 100, 150
-"""How long jobs are then watched beside services, and how long it may take until all are over without these."""
+"""After the troubles: how long services go on beside the other jobs, and how long all jobs then may take to end."""
 
 
 def crash_leader(model: Model, back_s: float) -> None:
-    """End the controller that runs the fleet."""
+    """End the process of the fleet leader."""
     for host in model.hosts:
         if host.core is not None and host.core.runner.running:
             model.crash(host.number, back_s)
 
 
 def crash_all(model: Model, back_s: float) -> None:
-    """End all controllers within a second."""
+    """End the processes of all controllers within a second."""
     for host in model.hosts:
         model.at(model.rng.randrange(SECOND), lambda number=host.number: model.crash(number, back_s))
 
 
 def leaders_change(model: Model, times: int, every_s: float) -> None:
-    """One controller that runs the fleet after the other ends."""
+    """End the fleet leader `times` times, every `every_s` seconds."""
     for n in range(times):
         model.at(int(n * every_s * SECOND), lambda: crash_leader(model, every_s * 0.8))
 
 
-def some_machines(model: Model, most: int) -> list[str]:
-    """A few of the machines that are up."""
+def some_machines(model: Model, at_most: int) -> list[str]:
+    """Between one and `at_most` random machines that are up."""
     names = sorted(model.workers)
-    return model.rng.sample(names, min(len(names), model.rng.randint(1, most)))
+    return model.rng.sample(names, min(len(names), model.rng.randint(1, at_most)))
 
 
-def machines_in(model: Model, zone: str | None, most: int) -> list[str]:
-    """All machines of a zone that are up, or, without a zone, a few of any."""
+def machines_in(model: Model, zone: str | None, at_most: int) -> list[str]:
+    """All machines of a zone that are up; without a zone, up to `at_most` machines of any."""
     if zone is None:
-        return some_machines(model, most)
+        return some_machines(model, at_most)
     return [name for name, worker in sorted(model.workers.items()) if worker.zone == zone]
 
 
@@ -65,7 +67,7 @@
 
 
 def cut_zone(model: Model, number: int, seconds: float) -> None:
-    """Cut a zone with all its workers and one controller from everything else."""
+    """Cut zone b with all its workers and one controller off from everything else."""
     names = [name for name, worker in sorted(model.workers.items()) if worker.zone == "b"]
     others = [host.number for host in model.hosts if host.number != number]
     for target in ("state", "cloud", "user", *(f"c{n}" for n in others)):
@@ -76,13 +78,13 @@
 
 
 def make_deaf(model: Model, seconds: float, held: bool, zone: str | None) -> None:
-    """Let the reports of some machines, or of a zone's, arrive, and no answer or command reach them."""
+    """Let reports of some machines, or of a zone's, arrive, while no answer or command reaches the machines."""
     for name in machines_in(model, zone, 3):
         model.deaf[name] = (model.now + int(seconds * SECOND), held)
 
 
 def hang_machines(model: Model, seconds: float, cloud_out: bool) -> None:
-    """Let some machines hang, sometimes while the cloud can delete none."""
+    """Let some machines hang; with `cloud_out` the cloud can delete none meanwhile."""
     for name in some_machines(model, 4):
         model.hang(name, seconds)
     if cloud_out:
@@ -91,60 +93,60 @@
 
 
 def cancel_some(model: Model, count: int) -> None:
-    """Cancel some accepted jobs, whatever they do."""
+    """Cancel some accepted jobs, in whatever state they are."""
     known = sorted(job_id for job_id, job in model.jobs.items() if job.accepted_us is not None)
     for job_id in model.rng.sample(known, min(count, len(known))):
         model.at(model.rng.randrange(1, SECOND), lambda job_id=job_id: model.cancel(job_id))
 
 
 def slow_messages(model: Model, share: float, seconds: float) -> None:
-    """Delay a share of all messages by up to some seconds."""
+    """Delay a share of all messages by 0.5 to 6 s."""
     model.late_share = share
     model.at(int(seconds * SECOND), lambda: setattr(model, "late_share", 0.0))
 
 
 def mute_machines(model: Model, seconds: float, zone: str | None) -> None:
-    """Let some machines, or a zone's, reach no controller, while direct commands reach them."""
+    """Lose all requests of some machines, or of a zone's, while direct commands reach them."""
     for name in machines_in(model, zone, 6):
         model.mute(name, seconds)
 
 
 def hold_orders(model: Model, seconds: float) -> None:
-    """Hold the direct commands to some machines on their way."""
+    """Delay the direct commands to some machines until that many seconds have passed."""
     for name in some_machines(model, 6):
         model.held_orders[name] = model.now + int(seconds * SECOND)
 
 
 def roam(model: Model, seconds: float) -> None:
-    """Let workers report to any controller."""
+    """Let workers report to random controllers."""
     model.roaming_until = model.now + int(seconds * SECOND)
 
 
 def halt(model: Model, number: int, seconds: float) -> None:
-    """Let a controller stand still after its next input."""
+    """Pause a controller's process after its next input."""
     model.hosts[number].halts_us = int(seconds * SECOND)
 
 
 def slow_down(model: Model, number: int, ms: int, seconds: float) -> None:
-    """Let a controller take some time for each input."""
+    """Let each input occupy a controller for that many milliseconds."""
     host = model.hosts[number]
     host.slow_us = ms * 1000
     model.at(int(seconds * SECOND), lambda: setattr(host, "slow_us", 0))
 
 
 def copy_reports(model: Model, seconds: float) -> None:
-    """Let copies of reports come late to any controller."""
+    """Duplicate reports; the copies arrive late at any controller."""
     model.copies_until = model.now + int(seconds * SECOND)
 
 
 def bounce_machine(model: Model, back_s: float) -> None:
-    """Let a machine end and be back with its session from the start."""
+    """Let a machine end and come back with its session counted from 1."""
     for name in some_machines(model, 1):
         model.bounce(name, back_s)
 
 
 def draw(rng: random.Random, hosts: int) -> Callable[[Model], None]:
-    """Draw one trouble."""
+    """Draw a random trouble: a function that begins it in a model."""
     number, long_s, short_s = rng.randrange(hosts), rng.uniform(5, HELD_S), rng.uniform(0.5, 6)
     share, flag = rng.uniform(0.2, 0.95), rng.random() < 0.5
     alone = rng.choice([None, number])
@@ -192,7 +194,7 @@
 
 
 def draw_job(rng: random.Random, number: int) -> dict[str, Any]:
-    """Draw a job: mostly small ones, some gangs, some services, some bound to a place."""
+    """Draw a random submission: mostly small jobs, some gangs, some services, some bound to a zone or type."""
     same_place = rng.random() < 0.15
     yard = rng.choice([None, None, "a", "b"]) if not same_place else None
     big = rng.random() < 0.15
@@ -214,11 +216,11 @@
 
 
 def play(seed: int) -> Model:
-    """Play one night; a RuleBroken carries what was broken."""
+    """Play one run and return its model; raises RuleBroken if a rule is broken."""
     rng = random.Random(seed)
     hosts = rng.choice([3, 3, 5, 7])
     model = Model(seed, hosts, OperatorSettings(group_size=rng.choice([None, 1, 2])))
-    NIGHTS[:] = [model]
+    LAST_MODEL[:] = [model]
     model.drift(DRIFT_PPM)
     model.checks()
     model.look_closely()
@@ -239,47 +241,47 @@
     return model
 
 
-NIGHTS: list[Model] = []
-"""The model that was played last, also where it broke a rule."""
+LAST_MODEL: list[Model] = []
+"""The model of the last run, which is kept when a rule was broken too."""
 
 
 def end(model: Model) -> None:
-    """Once all troubles are over, all jobs end, and nothing is forgotten or neglected."""
+    """End a run after its troubles: check that all jobs end, and that none is forgotten or neglected."""
     model.calm()
     run_until(model, BESIDE_SERVICES_S, lambda: not model.waiting_jobs())
     for job_id, job in model.jobs.items():
         if job.spec["shape"] == "service" and job.accepted_us is not None:
             model.cancel(job_id)
-    run_until(model, CALM_S, lambda: not left_over(model))
-    if left_over(model):
-        raise RuleBroken(f"never over: {[model.jobs[job_id].spec for job_id in left_over(model)]}")
+    run_until(model, CALM_S, lambda: not unfinished_jobs(model))
+    if unfinished_jobs(model):
+        raise RuleBroken(f"never ended: {[model.jobs[job_id].spec for job_id in unfinished_jobs(model)]}")
 
 
-def run_until(model: Model, most_s: int, over: Callable[[], bool]) -> None:
-    """Let time pass until nothing more is to be seen."""
-    for _ in range(most_s // STEP_S):
+def run_until(model: Model, max_seconds: int, over: Callable[[], bool]) -> None:
+    """Advance the model until `over` holds or `max_seconds` have passed."""
+    for _ in range(max_seconds // STEP_S):
         model.run(STEP_S)
         if over():
             break
 
 
-def left_over(model: Model) -> list[str]:
-    """The accepted jobs whose users have not been told that they are over."""
+def unfinished_jobs(model: Model) -> list[str]:
+    """The accepted jobs whose users have not been told that they have ended."""
     return [job_id for job_id, job in model.jobs.items() if job.accepted_us is not None and job.told is None]
 
 
 def main(first: int, count: int) -> int:
-    """Play some nights; return how many broke something."""
+    """Play `count` runs and print their results; return how many failed."""
     happened: Counter[str] = Counter()
     broken = 0
     late: list[LateStart] = []
     for seed in range(first, first + count):
         try:
             play(seed)
-        except Exception as error:  # Also an error of a core: it is told, and the next night played.
+        except Exception as error:  # Errors of a core too: report them and play the next run.
             broken += 1
             print(f"night {seed}: {type(error).__name__}: {str(error)[:400]}", flush=True)
-        model = NIGHTS[0]
+        model = LAST_MODEL[0]
         happened.update(model.happened)
         happened["starts"] += model.starts
         late += model.late_starts
