--- a/tests/model_checks.py
+++ b/tests/model_checks.py
@@ -64,7 +64,10 @@
                 self.launch_orders_sent.setdefault((machine, (job_id, order["try"], int(number))), (how, self.now))
 
     def _describe_launch_order(self, machine: str, key: Key, cancelled_us: int) -> str:
-        """How a task's start order was sent, and whether before the cancellation was told; likewise its execution."""
+        """How a task's start order was sent, and whether it was sent and executed before the cancellation.
+
+        `cancelled_us`: when a user was first told of the cancellation.
+        """
         how, sent_us = self.launch_orders_sent.get((machine, key), ("unknown", 0))
         sent = "after" if sent_us > cancelled_us else "before"
         arrived = "after" if self.workers[machine].tasks[key].launched_us > cancelled_us else "before"
--- a/tests/model_troubles.py
+++ b/tests/model_troubles.py
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True)
 class TroubleWindow:
-    """The share of messages that a trouble hits until a moment, of one controller or of all."""
+    """The share of messages (or of ended jobs) that a trouble hits until a moment, at one controller or at all."""
 
     share: float = 0.0
     until_us: int = 0
     number: int | None = None
 
     def strikes(self, model: Any, number: int | None = None) -> bool:
-        """Draw whether the trouble hits a message now."""
+        """Draw whether the trouble hits now."""
         if model.now >= self.until_us or (self.number is not None and self.number != number):
             return False
         return bool(model.rng.random() < self.share)
@@ -75,10 +75,11 @@
 
 
 class Troubles:
-    """The part of the model that injects the troubles which LATER.md of the users lists."""
+    """The part of the model that injects troubles."""
 
     def _begin_troubles(self) -> None:
         self.happened: Counter[str] = Counter()
+        """How often each effect of a trouble came about."""
         self._lost_answers = TroubleWindow()
         self._late_writes = TroubleWindow()
         self._late_reports = TroubleWindow()
--- a/tests/model_users.py
+++ b/tests/model_users.py
@@ -161,7 +161,7 @@
         self._ask("GET", f"/submissions/{job_id}", None, 2, answered)
 
     def calm(self) -> None:
-        """All troubles are over: check from now on that no accepted job is forgotten or neglected."""
+        """All troubles are over: check from now on that no accepted job, by itself, is forgotten or neglected."""
         if self.calm_since_us is not None:
             return
         self.calm_since_us = self.now
@@ -263,9 +263,9 @@
         )
 
     def _orphaned_since_us(self, job_id: str) -> int | None:
-        """Since when (us) the job has been accepted, and a job that it waits on told to a user as cancelled.
+        """Since when (us) users have known that the job is accepted and that a job which it waits on is cancelled.
 
-        Dependencies of dependencies count too.  None if only one of these is so.
+        Dependencies of dependencies count too.  None if either is not known.
         """
         job = self.jobs[job_id]
         found = []
