--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -104,7 +104,7 @@
         raise AssertionError(f"the condition was not met within {seconds} s")
 
 
-def at_work(seed: int, hosts: int = 3) -> CopiedReports:
+def busy_model(seed: int, hosts: int = 3) -> CopiedReports:
     """Return a model of four jobs whose long tasks run on machines."""
     model = CopiedReports(seed, hosts)
     model.begin(batch(n) for n in range(4))
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("first_arrival", ["copy first", "machine first"])
 @pytest.mark.parametrize("session_end", list(LAST_REPORTS))
 def test_the_highest_session_heard_so_far_may_be_over(session_end: str, first_arrival: str, hosts: int) -> None:
-    model = at_work(111, hosts)
+    model = busy_model(111, hosts)
     (name, *_) = sorted(model.machines_of("job-1"))
     report = LAST_REPORTS[session_end](model, name)
     running = {task["piece"] for task in report["pieces"] if task["status"] == "running"}
@@ -155,8 +155,8 @@
         sent_before = len(model.sent_reports[name])
         isolate(model, name, 0)
         model.run_until(lambda: len(model.sent_reports[name]) > sent_before + 1, 12)
-    # The case is reached: the copy claims tasks that are gone, and no controller knows the machine, except those to which
-    # it has reported after their restart.
+    # The case is reached: the copy claims tasks that are gone, and only controllers to which the machine has reported
+    # since they restarted know the machine.
     learnt_before, allocated = len(model.learnt_us), model.allocated_tasks(name)
     answers = model.send_copies_to_all(report)
     model.run(0.005)
@@ -185,7 +185,7 @@
 @pytest.mark.parametrize("hosts", some([3], [5, 7]))
 @pytest.mark.parametrize("after_s", [0.0, 1.5 * LEASE_S])
 def test_a_copy_of_a_cancelled_job_s_machine_renews_no_lease_and_starts_nothing(hosts: int, after_s: float) -> None:
-    model = at_work(112, hosts)
+    model = busy_model(112, hosts)
     names = sorted(model.machines_of("job-2"))
     reports = [model.sent_reports[name][-1] for name in names]
     leader = model.runner()
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize("hosts", some([3], [5, 7]))
 def test_copies_that_lack_a_cancelled_task_free_nothing_while_it_lingers(hosts: int) -> None:
-    model = at_work(114, hosts)
+    model = busy_model(114, hosts)
     model.cancel("job-0")
     model.run(3)
     model.begin([batch(30)])
@@ -247,7 +247,7 @@
 
 @pytest.mark.parametrize("token", ["first report", "later report"])
 def test_a_copy_from_a_machine_that_is_gone_leaves_no_work_waiting_on_it(token: str) -> None:
-    model = at_work(113)
+    model = busy_model(113)
     (name, *_) = sorted(model.machines_of("job-3"))
     report = next(
         report for report in model.sent_reports[name] if (report["baton"] == 0) == (token == "first report")
@@ -308,7 +308,7 @@
 def test_a_token_given_for_a_copy_is_the_machine_s_in_every_order_of_copy_report_and_answer(
     order: tuple[str, ...],
 ) -> None:
-    model = at_work(124)
+    model = busy_model(124)
     (name, *_) = sorted(model.machines_of("job-0"))
     report = model.sent_reports[name][-1]
     session, tasks = model.workers[name].session, set(model.workers[name].tasks)
