--- a/tests/test_meetings_leaders.py
+++ b/tests/test_meetings_leaders.py
@@ -1,4 +1,8 @@
-"""Changes of the fleet's runner, and controllers that are away or cut off, meet cancellations and long tasks."""
+"""Changes of the fleet leader, and controllers that are down or cut off, during cancellations and long tasks.
+
+The tests guard against cancelled tasks that outlast their bound, machines that lose long tasks although they were
+away for less than a lease, and leases or writes that accumulate with each change of leader.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 TEAM_KEY = "ashtray/now/team/crew"
 
 
-# Row 14: all controllers are away for longer than the lease
+# Row 14 of docs/meetings.md: all controllers are down for longer than the lease
 
 
 @pytest.mark.parametrize("seed", some([8], [9, 10, 11]))
@@ -32,26 +36,27 @@
     sessions = {name: model.workers[name].session for machines in model.on.values() for name in machines}
     model.run(back_s - 0.1)
     assert not model.live()
-    later = [name for name in sessions if name in model.workers and model.workers[name].session > sessions[name]]
-    # The meeting: all leases ran out, or none did.
-    assert len(later) == (len(sessions) if back_s > LEASE_S + 2 else 0)
+    restarted = [name for name in sessions if name in model.workers and model.workers[name].session > sessions[name]]
+    # The case is reached: the leases of all machines ended, or none did.
+    assert len(restarted) == (len(sessions) if back_s > LEASE_S + 2 else 0)
     model.longest_gap_us = 0
     model.without_owner.clear()
     model.run(40)
     assert all(model.gone_s(job_id) < LEASE_S + REPORT_S for job_id in ids)
     assert not model.late_starts
     assert model.longest_gap_us < FEW_REPORTS_S * SECOND
-    # What was running before runs again, once.
+    # What ran before the crash runs again; the model checks that each task runs only once.
     running = {job_id for job_id, _ in model.on}
     assert running >= {f"job-{n}" for n in range(6)} - set(ids)
     model.run(40)
     assert all(model.jobs[f"job-{n}"].told == "done" for n in range(20, 24))
 
 
-# Row 16: ten changes of leader in two minutes
+# Row 16 of docs/meetings.md: ten changes of leader in two minutes
 
 
-def leases(model: Meeting) -> int:
+def count_leases(model: Meeting) -> int:
+    """Return how many leases the state service holds now."""
     model.state.expire(model.now)
     return len(model.state.leases)
 
@@ -66,55 +71,55 @@
     model.begin(batch(n, crew="crew", pieces=3) for n in range(10, 14))
     assert model.use() == TEAM["cpus_max"]
     sessions = {name: worker.session for name, worker in model.workers.items()}
-    model.longest_gap_us, most_leases, fences = 0, 0, 0
-    fence = model.state.keys[TEAM_KEY][1]
+    model.longest_gap_us, max_leases, share_writes = 0, 0, 0
+    share_revision = model.state.keys[TEAM_KEY][1]
     terms = len(model.terms)
     ids = sorted(model.jobs)
     for n in range(10):
         number = model.runner()
         if number is None:
             number = model.terms[-1][0]
-        way = ["crash", "hand over", "blink"][n % 3] if how == "mixed" else how
+        change = ["crash", "hand over", "blink"][n % 3] if how == "mixed" else how
         if outage and n in (3, 6):
             model.state_outage(7)
             model.run(1)
-        if way == "hand over":
+        if change == "hand over":
             model.hand_over(number, 3)
         else:
-            model.crash(number, 0.4 if way == "blink" else 4)
+            model.crash(number, 0.4 if change == "blink" else 4)
         model.run(0.5)
         if n < 6:
             model.cancel(ids[n])
         for _ in range(11):
             model.run(1)
-            most_leases = max(most_leases, leases(model))
-            fences += model.state.keys[TEAM_KEY][1] != fence
-            fence = model.state.keys[TEAM_KEY][1]
-    # The meeting: ten terms and more, with cancellations between them.
+            max_leases = max(max_leases, count_leases(model))
+            share_writes += model.state.keys[TEAM_KEY][1] != share_revision
+            share_revision = model.state.keys[TEAM_KEY][1]
+    # The case is reached: ten or more terms began, with cancellations between them.
     assert len(model.terms) - terms >= 10
     assert all(model.jobs[job_id].told == "cancelled" for job_id in ids[:6])
-    # Those that live, and what processes that ended within a lease's life left behind.
-    assert most_leases <= len(model.hosts) + 2
-    # No record of shares is written anew for a change of leader alone.
-    assert fences <= 4
+    # One lease for each live controller, and those that recently ended processes have left until they expire.
+    assert max_leases <= len(model.hosts) + 2
+    # A change of leader alone does not rewrite the record of shares.
+    assert share_writes <= 4
     gap_s = LEASE_S if outage else FEW_REPORTS_S
     assert model.longest_gap_us < gap_s * SECOND
     assert all(model.workers[name].session == session for name, session in sessions.items() if name in model.workers)
     assert max(model.gone_s(job_id) for job_id in ids[:6]) < FEW_REPORTS_S
     assert not model.late_starts
     model.run(20)
-    assert leases(model) == len(model.hosts)
+    assert count_leases(model) == len(model.hosts)
 
 
-# Row 17: the leader ends while machines with long tasks can't be reached, or don't hear the answer
+# Row 17 of docs/meetings.md: the leader ends while machines with long tasks are out of reach or get no answers
 
 
 @pytest.mark.parametrize("offset_s", some([-2.0, 1.0], [0.0, 2.0, 3.5]))
-@pytest.mark.parametrize("trouble", ["cut", "deaf", "hang"])
+@pytest.mark.parametrize("fault", ["cut", "deaf", "hang"])
 def test_machines_that_are_back_within_their_lease_are_kept_by_the_heir(
-    trouble: str, offset_s: float, monkeypatch: pytest.MonkeyPatch
+    fault: str, offset_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # As long as a large site's: two reports that are given up after 4 s fit into it.
+    # The lease of a large site: two reports that are given up after 4 s fit into the lease.
     lease_s, cancel_s = 14.0, 34.0
     for module in ("model", "model_basis", "model_checks", "meeting_model"):
         monkeypatch.setattr(f"tests.{module}.LEASE_S", lease_s, raising=False)
@@ -125,44 +130,44 @@
     names = sorted(model.workers)[::2]
     sessions = {name: model.workers[name].session for name in names}
     tasks = {name: set(model.workers[name].tasks) for name in names}
-    away_s = (0.55 if trouble == "hang" else 0.3) * lease_s
+    away_s = (0.55 if fault == "hang" else 0.3) * lease_s
     leader = model.runner()
     assert leader is not None and all(tasks.values())
 
-    def strike() -> None:
-        if trouble == "cut":
+    def inject_fault() -> None:
+        if fault == "cut":
             model.cut_off(names, away_s)
-        elif trouble == "hang":
+        elif fault == "hang":
             model.hang_all(names, away_s)
         else:
             for name in names:
                 model.deaf[name] = (model.now + int(away_s * SECOND), False)
 
     if offset_s <= 0:
-        strike()
+        inject_fault()
         model.run(-offset_s)
         model.crash(leader, 40)
     else:
         model.crash(leader, 40)
         model.run(offset_s)
-        strike()
+        inject_fault()
     model.run(4 * lease_s)
-    # The meeting: another controller runs the fleet, and has owned the machines that could not be reached.
+    # The case is reached: another controller is the fleet leader, and every machine that was away has an owner.
     assert model.runner() not in (None, leader)
     assert all(model.owner(name) is not None for name in names)
     assert {name: model.workers[name].session for name in names} == sessions
     assert {name: set(model.workers[name].tasks) for name in names} == tasks
 
 
-@pytest.mark.parametrize("trouble", ["cut", "deaf"])
-def test_machines_that_stay_away_are_returned_by_the_heir_and_their_tasks_run_elsewhere(trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["cut", "deaf"])
+def test_machines_that_stay_away_are_returned_by_the_heir_and_their_tasks_run_elsewhere(fault: str) -> None:
     model = Meeting(52)
     model.begin(batch(n) for n in range(6))
     model.run(5)
     names = sorted(model.workers)[:2]
     leader = model.runner()
     assert leader is not None
-    if trouble == "cut":
+    if fault == "cut":
         model.cut_off(names, 200)
     else:
         for name in names:
@@ -174,7 +179,7 @@
     assert len(model.on) == 24
 
 
-# Row 18: a leader cut from the state service and from the other controllers, not from workers and users
+# Row 18 of docs/meetings.md: a leader is cut off from the state service and its peers, not from workers and users
 
 
 @pytest.mark.parametrize("hold", [False, True])
@@ -185,20 +190,20 @@
     model.run(2)
     leader = model.runner()
     assert leader is not None
-    mine = [name for name in model.workers if model.owner(name) == leader]
+    leader_machines = [name for name in model.workers if model.owner(name) == leader]
     for target in ("state", *(f"c{host.number}" for host in model.hosts if host.number != leader)):
         model.cut(f"c{leader}", target, 40, hold)
     others = [host.number for host in model.hosts if host.number != leader]
     ids = sorted(model.jobs)
-    told: list[tuple[int, int, str]] = []
+    answers: list[tuple[int, int, str]] = []
 
     def ask(job_id: str) -> None:
-        """Users ask the leader that is alone, again and again."""
+        """Ask the isolated leader for a job's status twice a second; the model checks that no answer is outdated."""
         asked_us = model.now
 
         def answered(reply: Reply) -> None:
             if reply.status == 200:
-                told.append((asked_us, model.now, job_id))
+                answers.append((asked_us, model.now, job_id))
                 model.asked_us = asked_us
                 model._told(job_id, reply.body["status"])
 
@@ -213,16 +218,16 @@
         model.cancel(job_id)
     model.run(CANCEL_S + 12)
     assert all(model.jobs[job_id].told == "cancelled" for job_id in ids[::2])
-    # The meeting: none of its machines was left to it, and what it told was never older than the cancellation.
-    assert mine and all(model.owners[name][-1] != leader for name in mine)
+    # The case is reached: other controllers own all its machines, and its cluster state is older than theirs.
+    assert leader_machines and all(model.owners[name][-1] != leader for name in leader_machines)
     assert model.hosts[leader].core.follower.read_us < model.hosts[others[0]].core.follower.read_us
     assert max(model.gone_s(job_id) for job_id in ids[::2]) < 2 * LEASE_S
     assert not model.late_starts
     model.run(30)
-    assert told and {job_id for job_id, _ in model.on} == set(ids[1::2])
+    assert answers and {job_id for job_id, _ in model.on} == set(ids[1::2])
 
 
-# Row 19: a zone with workers and a controller is cut off for longer than the lease
+# Row 19 of docs/meetings.md: a zone with workers and a controller is cut off, for less or more than the lease
 
 
 @pytest.mark.parametrize("seconds", [0.7 * LEASE_S, 1.5 * LEASE_S, 5 * LEASE_S])
@@ -237,7 +242,7 @@
     assert model.use() == TEAM["cpus_max"]
     inside = [name for name, worker in model.workers.items() if worker.zone == "b"]
     outside = [name for name in model.workers if name not in inside]
-    tended = [name for name in inside if model.owner(name) == 2]
+    owned_inside = [name for name in inside if model.owner(name) == 2]
     cut_us = model.now
     for target in ("state", "cloud", "user", "c0", "c1", *outside):
         model.cut("c2", target, seconds, False)
@@ -250,9 +255,9 @@
     for job_id in ids:
         model.cancel(job_id)
     model.run(4.5)
-    # The meeting: the zone's controller goes on renewing, and has not read of the cancellations.
-    kept = [name for name in tended if model.owner(name) == 2]
-    assert kept and all(model.workers[name].renewed_us > cut_us + 2 * SECOND for name in kept)
+    # The case is reached: the zone's controller still renews leases and has not read the cancellations.
+    still_owned = [name for name in owned_inside if model.owner(name) == 2]
+    assert still_owned and all(model.workers[name].renewed_us > cut_us + 2 * SECOND for name in still_owned)
     assert model.hosts[2].core.cluster_state.jobs.keys() >= set(ids)
     model.run(LEASE_S)
     model.run(max(seconds, CANCEL_S))
@@ -260,6 +265,6 @@
     assert max(model.gone_s(job_id) for job_id in ids) <= CANCEL_S
     assert not model.late_starts
     model.run(60)
-    # What was not cancelled runs, in its zone, and what waited for the limit has come to its turn.
+    # Jobs that were not cancelled run, including the one that waited for the limit.
     assert {job_id for job_id, _ in model.on} == set(model.jobs) - set(ids)
     assert model.use() == TEAM["cpus_max"] - 8
