--- a/tests/test_meetings_late_writes.py
+++ b/tests/test_meetings_late_writes.py
@@ -1,7 +1,8 @@
-"""Transactions that are carried out seconds late, after newer ones of the same sender, or without an answer at all.
+"""Transactions that are executed seconds late, after newer ones of the same sender, or without an answer.
 
-Covers what guards each kind of transaction when it arrives late, keys that are absent both times, and a fold that
-frees a task which its sender has started again in the machine's next session.
+The tests cover what protects each kind of transaction when it arrives late, keys that are absent both when it is sent
+and when it arrives, and a fold (the transaction that writes what reports said into group records) that frees a task
+which its sender has started again in the machine's next session.
 """
 
 from __future__ import annotations
@@ -52,11 +53,11 @@
 
 JOB = "job-0"
 SOON_S = 0.01
-"""How long after a fold's arrival its machine's lease ends."""
+"""How many seconds after the arrival of a fold the lease of its machine ends."""
 
 
-class Places:
-    """Checks that each task that is on a machine has its place in the machine's record (safety point 1)."""
+class AllocationChecks:
+    """Checks that each task on a machine has its allocation in the machine's record (safety point 1)."""
 
     def __init__(self, model: Model) -> None:
         self.model = model
@@ -82,14 +83,14 @@
         job, attempt, task = key
         if self.model.jobs[job].cancel_asked:
             return
-        for hold in holds_of(self.model, machine):
-            if (hold.job, hold.attempt) == (job, attempt) and task in decode_runs(hold.tasks):
+        for allocation in allocations_of(self.model, machine):
+            if (allocation.job, allocation.attempt) == (job, attempt) and task in decode_runs(allocation.tasks):
                 return
         raise RuleBroken(f"freed though it is there: {job}/{task}, attempt {attempt}, on {machine}")
 
 
-def holds_of(model: Model, machine: str) -> list[Any]:
-    """What a machine's record says is placed there."""
+def allocations_of(model: Model, machine: str) -> list[Any]:
+    """Return the allocations in a machine's record; none if there is no record."""
     for key, (value, _, _) in model.state.keys.items():
         if key.startswith(GROUP):
             record = compact_record.unpack(value)["machines"].get(machine)
@@ -99,27 +100,27 @@
 
 
 class Anew(Enum):
-    """Why a machine begins anew without its tasks."""
+    """Why a machine starts over without its tasks."""
 
     LEASE = "its lease ended"
     RESTART = "it was started anew"
 
 
-class BegunAnew:
-    """A task is stopped, the fold that frees it gets no answer, and the machine begins anew without its tasks."""
+class MachineStartsOver:
+    """A task is stopped, the fold that frees it gets no answer, and the machine starts over without its tasks."""
 
     def __init__(self, model: Model, fate: Fate) -> None:
         self.model = model
-        self.held_when_heard = False
-        """Whether the sender's cluster state still showed the place when it heard of the new beginning."""
-        self.places = Places(model)
+        self.allocated_at_report = False
+        """Whether the sender's cluster state still had the allocation when the machine reported anew."""
+        self.allocation_checks = AllocationChecks(model)
         self.troubles = Troubles(model, Kind("fold", also=self._frees), fate, armed=False, late_s=(5.0, 8.0))
         self.newer = submission("job-2", pieces=1, crew="free", hulls=["big"])
         model.jobs["job-2"] = UserJob(self.newer)
         model._run_us = lambda key: 600 * SECOND  # type: ignore[method-assign]
         model.checks()
         model.run(3)
-        # Two machines; one is left with nothing, for the task to go to.
+        # Two machines: one loses its job, so that the task can be placed there next.
         for n in range(2):
             model.submit(submission(f"job-{n}", pieces=1, cpus=4.0, crew="free", hulls=["small"]))
         while len(model.on) < 2:
@@ -131,7 +132,7 @@
         self.troubles.armed = True
 
     def _frees(self, transaction: Transaction) -> bool:
-        """Whether it frees the task's place on its machine."""
+        """Return whether a transaction frees the allocations on the task's machine."""
         for change in transaction.body["apply"]:
             if change.get("put", "").startswith(GROUP):
                 machines = compact_record.unpack(change["value"])["machines"]
@@ -140,26 +141,26 @@
         return False
 
     def play(self, anew: Anew) -> None:
-        """Let the task end, and the machine begin anew as soon as the fold is on its way."""
+        """End the task, and let the machine start over as soon as the fold is on its way."""
         worker = self.model.workers[self.machine]
-        # As by a kill that was held up on its way.
+        # The effect of a kill that was delayed on its way.
         worker._end(worker.tasks[self.key], "stopped")
         while not self.troubles.meetings:
             self.model.run(SOON_S / 10)
         self.model.run(SOON_S)
         if anew is Anew.LEASE:
-            # The answers to its reports were lost for a lease, that to the last one too.
+            # All answers to its reports were lost for the length of a lease.
             worker.renewed_us = self.model.now - int(LEASE_S * SECOND) - 1
             worker.advance(self.model.now)
         else:
-            # Its reports are as many by now as those before: other controllers did not answer them.
+            # The machine restarted and has sent as many reports as before, which other controllers did not answer.
             worker.tasks.clear()
             worker.token = 0
         sender = self.model.hosts[int(self.troubles.meetings[0].transaction.source[1:])]
-        holds = sender.core.cluster_state.machines[self.machine].holds
-        self.held_when_heard = any(hold.job == JOB for hold in holds)
+        allocations = sender.core.cluster_state.machines[self.machine].holds
+        self.allocated_at_report = any(allocation.job == JOB for allocation in allocations)
         self.model.copy_arrives(self.machine, sender.number, worker.report())
-        # A newer transaction of the same sender.
+        # This makes the sender commit a newer transaction.
         self.model._ask("POST", "/submissions", self.newer, 5, lambda reply: None, sender.number)
 
 
@@ -167,24 +168,24 @@
 @pytest.mark.parametrize(("fate", "anew"), [(Fate.AT_ONCE, Anew.LEASE), *((Fate.LATE, anew) for anew in Anew)])
 @pytest.mark.parametrize("seed", some([1], range(2, 8)))
 def test_a_fold_without_an_answer_frees_no_task_that_its_sender_has_started_again(fate, anew, hosts, seed):
-    # Found here: the same token and the same version of the record judged the order and the fold alike.
+    # Otherwise order and fold, which carry the same token and the same version of the record, would both be accepted.
     model = Model(seed, hosts, OperatorSettings(group_size=1))
-    meeting = BegunAnew(model, fate)
-    meeting.play(anew)
-    assert meeting.held_when_heard
+    case = MachineStartsOver(model, fate)
+    case.play(anew)
+    assert case.allocated_at_report
     model.run(20)
-    meeting.troubles.check()
-    assert meeting.places.checked >= 5
+    case.troubles.check()
+    assert case.allocation_checks.checked >= 5
     assert len(model.on[(JOB, 0)]) == 1
     if fate is Fate.AT_ONCE:
-        assert meeting.troubles.meetings[0].status == 200
+        assert case.troubles.meetings[0].status == 200
 
 
-# What guards each kind of transaction when it is carried out late
+# What protects each kind of transaction when it is executed late
 
 
 class Guard(Enum):
-    """Why a transaction that is carried out late, or twice, changes nothing that it must not."""
+    """Why a transaction that is executed late or twice changes nothing that it must not change."""
 
     VERSION = "it guards a version that it raises, or a record that it removes and that never comes back"
     FINAL_STATE = "the final state that it guards as absent is kept for ever"
@@ -213,7 +214,7 @@
     "remove": ({Guard.VERSION}, ""),
     "estimate": ({Guard.VERSION}, "test_a_fold_of_run_times_without_an_answer_counts_once"),
 }
-"""By purpose: what guards it when it is late, and the test of its own meeting if it has one beside `LATE_TESTS`."""
+"""By purpose: what protects a late transaction, and its own test beside `LATE_TESTS`, if there is one."""
 
 
 def test_the_table_of_guards_is_complete_and_names_tests_that_exist() -> None:
@@ -226,58 +227,58 @@
 
 
 @dataclass
-class Sent:
-    """A transaction that came to the state service."""
+class SentTransaction:
+    """A transaction that reached the state service."""
 
     purpose: str
     body: Any
     revision: int
-    """The revision when it came."""
+    """The revision of the state service when the transaction arrived."""
     status: int = 0
 
 
-class Journal:
-    """Notes all transactions of a model, and which of them could be carried out once more at a later time."""
+class TransactionLog:
+    """Records all transactions of a model, and which of them could be executed a second time later."""
 
     def __init__(self, model: Model) -> None:
         self.model = model
-        self.sent: list[Sent] = []
-        self.again: list[Sent] = []
-        """Those whose guards and leases held once more after other changes."""
-        self.looks = 0
+        self.sent: list[SentTransaction] = []
+        self.repeatable: list[SentTransaction] = []
+        """The transactions whose guards and leases were valid again after other changes."""
+        self.check_count = 0
         self.troubles = Troubles(model, Kind("none"), Fate.LATE, armed=False)
-        self.troubles.before = self._note
+        self.troubles.before = self._record_purpose
         self._handle = model.state.handle
         model.state.handle = self._on_request  # type: ignore[method-assign]
         self._purpose = ""
-        self._look()
+        self._check_regularly()
 
-    def _note(self, transaction: Transaction) -> None:
+    def _record_purpose(self, transaction: Transaction) -> None:
         self._purpose = transaction.purpose
 
     def _on_request(self, now_us: int, method: str, path: str, body: Any) -> tuple[int, Any]:
         revision = self.model.state.revision
         status, answer = self._handle(now_us, method, path, body)
         if path == "/txn" and body["apply"]:
-            self.sent.append(Sent(self._purpose, body, revision, status))
+            self.sent.append(SentTransaction(self._purpose, body, revision, status))
         if path == "/txn" or method == "DELETE":
             self._check()
         return status, answer
 
-    def _look(self) -> None:
-        """Leases end between requests, too."""
+    def _check_regularly(self) -> None:
+        """Check every half second as well, because leases also expire between requests."""
         self.model.state.expire(self.model.now)
         self._check()
-        self.model.at(SECOND // 2, self._look)
+        self.model.at(SECOND // 2, self._check_regularly)
 
     def _check(self) -> None:
-        self.looks += 1
+        self.check_count += 1
         state = self.model.state
         for sent in self.sent:
-            # Before anything has changed, a refusal for another reason may just be tried again.
+            # A transaction refused for another reason may be retried while nothing else has changed.
             late = sent.status == 200 or state.revision > sent.revision
-            if late and self._holds(sent.body) and sent not in self.again:
-                self.again.append(sent)
+            if late and self._holds(sent.body) and sent not in self.repeatable:
+                self.repeatable.append(sent)
 
     def _holds(self, body: Any) -> bool:
         state = self.model.state
@@ -287,10 +288,10 @@
         return all(state.keys.get(guard["k"], (None, 0))[1] == guard["stamp"] for guard in body["guards"])
 
 
-def play_work(hosts: int, seed: int) -> Journal:
-    """The usual work, with lost answers and controllers that hand over, end and are refused."""
+def play_work(hosts: int, seed: int) -> TransactionLog:
+    """Run the usual work with lost answers and crashes of two controllers, and return its transactions."""
     model = Model(seed, hosts, OperatorSettings(group_size=2))
-    journal = Journal(model)
+    transaction_log = TransactionLog(model)
     model.checks()
     work(model)
     model.lose_answers(0.2, 25.0)
@@ -299,28 +300,28 @@
     model.run(30)
     settle(model, 90)
     check_nothing_is_left(model)
-    return journal
+    return transaction_log
 
 
 @pytest.fixture(scope="module", params=[3, 5, 7])
-def journal(request: pytest.FixtureRequest) -> Journal:
-    """All that was sent in a run of the usual work with 3, 5 and 7 controllers."""
+def transaction_log(request: pytest.FixtureRequest) -> TransactionLog:
+    """The transactions of a run of the usual work, with 3, 5 and 7 controllers."""
     return play_work(request.param, request.param)
 
 
-def test_no_transaction_could_be_carried_out_a_second_time(journal: Journal) -> None:
-    """A copy of a transaction, or one that was refused, finds its guards broken for ever once its moment is past."""
-    assert journal.model.happened["answer lost"] > 10
-    assert journal.looks > 300
-    assert {sent.purpose for sent in journal.sent} >= GUARDS.keys() - {"split", "stop"}
-    # Only a presence may be written anew, under the lease of its own process.
-    assert {sent.purpose for sent in journal.again} <= {"sign in"}
+def test_no_transaction_could_be_carried_out_a_second_time(transaction_log: TransactionLog) -> None:
+    """The guards of an executed or refused transaction never hold again after another change."""
+    assert transaction_log.model.happened["answer lost"] > 10
+    assert transaction_log.check_count > 300
+    assert {sent.purpose for sent in transaction_log.sent} >= GUARDS.keys() - {"split", "stop"}
+    # Only a presence record may be written again, under the lease of its own process.
+    assert {sent.purpose for sent in transaction_log.repeatable} <= {"sign in"}
 
 
-def test_each_record_that_is_written_is_guarded(journal: Journal) -> None:
-    """By its own version, or by that of the record that it takes the place of."""
-    assert len(journal.sent) > 150
-    for sent in journal.sent:
+def test_each_record_that_is_written_is_guarded(transaction_log: TransactionLog) -> None:
+    """The guard is the version of the record itself or of the record that it replaces."""
+    assert len(transaction_log.sent) > 150
+    for sent in transaction_log.sent:
         guards = {guard["k"]: guard["stamp"] for guard in sent.body["guards"]}
         changed = [change.get("put") or change["remove"] for change in sent.body["apply"]]
         for key in changed:
@@ -330,46 +331,46 @@
                 assert guards.get(LIVE + key.removeprefix(OVER), 0), sent
             else:
                 assert key in guards, sent
-                assert guards[key] or guarded_while_absent(key, guards, sent.body["apply"]), sent
+                assert guards[key] or protected_while_absent(key, guards, sent.body["apply"]), sent
 
 
-def guarded_while_absent(key: str, guards: dict[str, int], apply: list[Any]) -> bool:
-    """Whether what is written where nothing was cannot be written there again once it has been removed."""
+def protected_while_absent(key: str, guards: dict[str, int], apply: list[Any]) -> bool:
+    """Return whether a guard other than its absence keeps a key from being written again after its removal."""
     if key.startswith(LIVE):
         return guards.get(OVER + key.removeprefix(LIVE)) == 0
     if key.startswith(GROUP):
-        others = [other for other in guards if other != key and other.startswith((ADOPTED, GROUP))]
-        return any(other in [change.get("put") for change in apply] for other in others)
+        other_keys = [other for other in guards if other != key and other.startswith((ADOPTED, GROUP))]
+        return any(other in [change.get("put") for change in apply] for other in other_keys)
     if key == FLEET:
         return all(change.get("permit") is not None for change in apply)
-    # These are never removed.
+    # Keys of all other kinds but splits are never removed.
     return not key.startswith(SPLIT)
 
 
-# A job's record is absent before its acceptance, and absent again after its end
+# The record of a job is absent before its acceptance and again after its end
 
 
 class LatePlay(Play):
-    """A search in which some transactions get no answer: carried out at once, or at any later moment."""
+    """A search in which some transactions get no answer and are executed at once or at any later moment."""
 
-    most_lost = 1
+    max_lost = 1
 
     def __init__(self, *args: Any) -> None:
         self.lost = 0
-        self.met: set[str] = set()
+        self.cases_seen: set[str] = set()
         super().__init__(*args)
 
     def _steps(self) -> list[Any]:
         steps = super()._steps()
-        if self._read_last is None and self.lost < self.most_lost:
+        if self._read_last is None and self.lost < self.max_lost:
             own = [m for m in self.pending if m.node != ELSEWHERE and not m.is_read]
             steps += [lambda m=m: self._lose(m) for m in own]
         return steps
 
     def _lose(self, message: Message) -> None:
-        """The sender gives a transaction up, which has been carried out or may still be."""
+        """Let the sender give up on a transaction that was executed or may still be executed."""
         self.lost += 1
-        self.met.add("late" if message.reply is None else f"lost {message.reply.status}")
+        self.cases_seen.add("late" if message.reply is None else f"lost {message.reply.status}")
         self.pending.remove(message)
         if message.reply is None:
             self.pending.append(Message(ELSEWHERE, -1000 * message.node - message.call_id, message.call))
@@ -378,17 +379,17 @@
 
     def _execute(self, message: Message) -> None:
         super()._execute(message)
-        live, over = LIVE + SEARCHED_JOB in self.state.keys, OVER + SEARCHED_JOB in self.state.keys
-        assert not (live and over), "a job that is over is live again"
+        is_live, is_over = LIVE + SEARCHED_JOB in self.state.keys, OVER + SEARCHED_JOB in self.state.keys
+        assert not (is_live and is_over), "a job that is over is live again"
 
     def _mark(self) -> Any:
         return hash((super()._mark(), self.lost))
 
 
 def end_by(node: int) -> Action:
-    """A controller moves the record of the job, which is done, once it has read it."""
+    """Return the action by which a controller, once it has read the job, ends it as done and moves its record."""
 
-    def known(play: Play) -> bool:
+    def has_read_job(play: Play) -> bool:
         return SEARCHED_JOB in play.nodes[node].core.cluster_state.jobs
 
     def end(play: Play) -> None:
@@ -398,28 +399,28 @@
 
         play.commit(node, build)
 
-    return Action("end", node, end, known)
+    return Action("end", node, end, has_read_job)
 
 
-@pytest.mark.parametrize(("repeater", "ender", "most_lost"), [(1, 1, 1), (1, 0, 1), *some([], [(1, 1, 2)])])
-def test_no_order_of_a_late_acceptance_and_the_job_s_end_revives_it(repeater, ender, most_lost):
+@pytest.mark.parametrize(("resubmitter", "ender", "max_lost"), [(1, 1, 1), (1, 0, 1), *some([], [(1, 1, 2)])])
+def test_no_order_of_a_late_acceptance_and_the_job_s_end_revives_it(resubmitter, ender, max_lost):
     plays: list[LatePlay] = []
 
     def begin(chooser: Chooser) -> Play:
-        actions = [submit_at(0), submit_at(repeater), end_by(ender)]
+        actions = [submit_at(0), submit_at(resubmitter), end_by(ender)]
         play = LatePlay(world(), 2, actions, chooser)
-        play.most_lost = most_lost
+        play.max_lost = max_lost
         plays.append(play)
         return play
 
     found = explore(begin)
-    met = set().union(*(play.met for play in plays))
-    assert {"late", "lost 200", "lost 409"} <= met
+    cases_seen = set().union(*(play.cases_seen for play in plays))
+    assert {"late", "lost 200", "lost 409"} <= cases_seen
     assert found.schedules > 50
     assert any("submit: done" in ending for ending in found.endings)
 
 
-# The fleet's key is absent whenever its holder has left
+# The key of the fleet lease is absent after its holder has ended
 
 
 @pytest.mark.parametrize("hosts", [3, 5, 7])
@@ -427,16 +428,16 @@
     model = Model(3, hosts, OperatorSettings(group_size=2))
     model.checks()
     model.run(4)
-    # Both tries of the first successor; the second successor takes the key meanwhile.
+    # Delay the first write and the retry of the first successor; the second successor takes the key meanwhile.
     troubles = Troubles(model, KINDS["term of the fleet"], Fate.LATE, count=2, late_s=(NEVER_S, NEVER_S))
-    leave(model, runner_of(model))
-    while model.now < 30 * SECOND and not (len(troubles.meetings) == 2 and runner_of(model) is not None):
+    stop_controller(model, leader_of(model))
+    while model.now < 30 * SECOND and not (len(troubles.meetings) == 2 and leader_of(model) is not None):
         model.run(0.05)
-    second = runner_of(model)
+    second = leader_of(model)
     first = int(troubles.meetings[0].transaction.source[1:])
     assert second is not None and second != first
-    leave(model, second)
-    # The key is absent once more, as it was when the late one was sent.
+    stop_controller(model, second)
+    # The key is absent again, as it was when the delayed transaction was sent.
     while FLEET in model.state.keys and model.now < 60 * SECOND:
         model.run(0.001)
     assert FLEET not in model.state.keys
@@ -444,12 +445,12 @@
     assert troubles.meetings[0].status == 200
     for _ in range(100):
         model.run(0.05)
-        # One that has given its lease up commits nothing under its term, and is not told yet.
+        # A controller that has given up its lease commits nothing under its term, although it may not know yet.
         leases = [host.core.runner.lease for host in model.hosts if host.core is not None]
         assert sum(lease.running and lease.holds() for lease in leases) <= 1
-    core = model.hosts[runner_of(model)].core
+    core = model.hosts[leader_of(model)].core
     assert core.runner.lease.term == model.state.keys[FLEET][1]
-    # The other one, of the same sender, finds the key taken.
+    # The second delayed transaction of the same sender finds the key taken.
     troubles.carry_out(troubles.meetings[1])
     assert troubles.meetings[1].status == 409
     model.submit(submission("job-0", pieces=4, crew="free", hulls=["small"]))
@@ -457,14 +458,14 @@
     check_nothing_is_left(model)
 
 
-def runner_of(model: Model) -> int | None:
-    """The controller that runs the fleet."""
+def leader_of(model: Model) -> int | None:
+    """Return the fleet leader, or None."""
     running = [host.number for host in model.hosts if host.core is not None and host.core.runner.running]
     return running[0] if running else None
 
 
-def leave(model: Model, number: int | None) -> None:
-    """A controller is told to end; it gives its lease up, ends half a second later and is back after 3 s."""
+def stop_controller(model: Model, number: int | None) -> None:
+    """Tell a controller to end: it gives up its lease, ends half a second later and restarts after 3 s."""
     assert number is not None
     host = model.hosts[number]
     model.carry_out(host, host.core.stop(*model.clock(host)))
