--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -298,7 +298,7 @@
         unanswered.carried_out_us = self.model.now
 
     def check(self) -> None:
-        """Check that the case was reached: each transaction was carried out, or refused by its guards or its lease."""
+        """Check that the case was reached: each transaction was carried out or refused by its guards or its lease."""
         assert self.meetings, f"no such transaction: {dict(self.sent)}"
         for unanswered in self.meetings:
             assert unanswered.carried_out_us is not None
@@ -418,6 +418,7 @@
 def test_a_split_without_an_answer_neither_loses_a_hold_nor_counts_one_twice(
     fate: Fate, sender: Sender, skip: int
 ) -> None:
+    # A large group is split in several transactions.  Otherwise a step without an answer is carried out twice.
     group, jobs = full_group(60, 4)
     model = Model(3, following=(2.0, 5))
     model.limits_fall()
@@ -443,6 +444,7 @@
 @pytest.mark.parametrize("fate", Fate)
 @pytest.mark.parametrize("back_s", [0.3, 12.0])
 def test_a_lease_whose_end_is_not_confirmed_takes_nothing_from_the_next_process(fate: Fate, back_s: float) -> None:
+    # The close of the old lease may be carried out when the next process has signed in with a lease of its own.
     model = Model(2, 3, OperatorSettings(group_size=2))
     model.checks()
     troubles = Troubles(model, KINDS["close lease"], fate)
