--- a/tests/test_meetings_sockets.py
+++ b/tests/test_meetings_sockets.py
@@ -1,6 +1,8 @@
-"""Users who ask all controllers within milliseconds, with real processes on loopback; one is killed and back at once.
+"""Users ask all controllers within milliseconds of each answer, while processes are killed and restarted.
 
-Bounded to 30 s of wall time, of which a run needs about half.
+The processes are real and listen on loopback.  A controller that has just started, or has not read the latest
+records, must not answer with an older state than users were told.  The test is limited to 30 s of wall time; a run
+takes about half of that.
 """
 
 from __future__ import annotations
@@ -22,33 +24,37 @@
 
 CONTROLLERS = 3
 JOBS, PAUSE_S = 24, 0.25
-RUN_S = 0.4
-BACK_S = 0.3
-"""How long after a kill the process is started again."""
-BOUND_S = 30
-OVER = {"pieces": 1, "cpus": 1.0, "cards": 0.0, "memory_gb": 1.0, "hulls": None, "crew": "crew"}
+"""The number of jobs, and the pause between two submissions."""
+TASK_RUN_S = 0.4
+"""How long a task runs."""
+RESTART_DELAY_S = 0.3
+"""How long after a kill the process is restarted."""
+MAX_TEST_S = 30
+"""The limit of a run, in wall time."""
+JOB_FIELDS = {"pieces": 1, "cpus": 1.0, "cards": 0.0, "memory_gb": 1.0, "hulls": None, "crew": "crew"}
 
 
 class SocketUsers:
-    """Users on loopback: every new answer makes them ask all controllers again within milliseconds."""
+    """Users who ask all controllers again within milliseconds of each new answer."""
 
     def __init__(self, apis: list[int], client: aiohttp.ClientSession, seed: int) -> None:
         self.apis = apis
         self.client = client
         self.rng = random.Random(seed)
         self.answers = AnswerHistory()
-        self.looked: set[tuple[str, str]] = set()
-        self.soonest_us: list[int] = []
-        """For each new answer, how long after it the first of the questions that it led to was asked."""
+        self.asked_all: set[tuple[str, str]] = set()
+        """Jobs and their answers after which all controllers were asked."""
+        self.immediate_delays_us: list[int] = []
+        """For each immediate request after a new answer, how long after the answer it was sent."""
         self.restarts: list[tuple[int, int]] = []
-        """Controllers that were killed, and when each was started again."""
+        """Controllers that were killed, and when each was restarted, in ns."""
 
-    async def request(self, job_id: str, kind: str, node: int) -> str | None:
-        """One request; what it told, if it told anything."""
+    async def request(self, job_id: str, kind: str, controller: int) -> str | None:
+        """Send one request; return the state that it told, or None if it told none."""
         path = {"submit": "/submissions", "poll": f"/submissions/{job_id}", "cancel": f"/submissions/{job_id}/abort"}
-        body = msgspec.msgpack.encode({**SUBMISSION, **OVER, "name_id": job_id}) if kind == "submit" else None
+        body = msgspec.msgpack.encode({**SUBMISSION, **JOB_FIELDS, "name_id": job_id}) if kind == "submit" else None
         method = "GET" if kind == "poll" else "POST"
-        url = f"http://127.0.0.1:{self.apis[node]}{path[kind]}"
+        url = f"http://127.0.0.1:{self.apis[controller]}{path[kind]}"
         asked = time.monotonic_ns()
         try:
             async with self.client.request(
@@ -62,81 +68,88 @@
             return None
         assert response.status in (200, 201, 404), (kind, response.status, raw)
         told: str = UNKNOWN if response.status == 404 else msgspec.msgpack.decode(raw)["status"]
-        self.answers.add(Heard(job_id, kind, node, asked, answered, told))
+        self.answers.add(Heard(job_id, kind, controller, asked, answered, told))
         return told
 
     async def until(self, job_id: str, kind: str, *states: str) -> str:
-        """Repeat a request at one controller after the other until it is answered with one of these states."""
-        node = self.rng.randrange(len(self.apis))
+        """Repeat a request at one controller after another until the answer is one of these states; return it."""
+        controller = self.rng.randrange(len(self.apis))
         while True:
-            told = await self.request(job_id, kind, node)
+            told = await self.request(job_id, kind, controller)
             if told in states:
                 return told
-            node = (node + 1) % len(self.apis)
+            controller = (controller + 1) % len(self.apis)
             await asyncio.sleep(0.05)
 
-    async def look(self, job_id: str, told: str, *kinds: str) -> None:
-        """Right after an answer, ask at all controllers, some of it a few milliseconds later."""
-        self.looked.add((job_id, told))
+    async def ask_all(self, job_id: str, told: str, *kinds: str) -> None:
+        """Send each kind of request to all controllers, at once and again after up to 5 ms."""
+        self.asked_all.add((job_id, told))
         told_ns = time.monotonic_ns()
 
-        async def soon(kind: str, node: int, late_s: float) -> None:
-            if late_s:
-                await asyncio.sleep(late_s)
+        async def request_after(kind: str, controller: int, delay_s: float) -> None:
+            if delay_s:
+                await asyncio.sleep(delay_s)
             else:
-                self.soonest_us.append((time.monotonic_ns() - told_ns) // 1000)
-            await self.request(job_id, kind, node)
-
-        late_s = (0.0, self.rng.uniform(0.0005, 0.005))
-        nodes = range(len(self.apis))
-        await asyncio.gather(*(soon(kind, node, late) for kind in kinds for node in nodes for late in late_s))
+                self.immediate_delays_us.append((time.monotonic_ns() - told_ns) // 1000)
+            await self.request(job_id, kind, controller)
+
+        delays_s = (0.0, self.rng.uniform(0.0005, 0.005))
+        controllers = range(len(self.apis))
+        await asyncio.gather(
+            *(
+                request_after(kind, controller, delay_s)
+                for kind in kinds
+                for controller in controllers
+                for delay_s in delays_s
+            )
+        )
 
-    async def live(self, number: int) -> None:
-        """A job from its submission to its end; each third one is cancelled at once, each third one at its end."""
+    async def run_job(self, number: int) -> None:
+        """Follow a job from its submission to its end; a third are cancelled at once, a third near their end."""
         job_id = f"job-{number + 1}"
         told = await self.until(job_id, "submit", "pending", "running", *FINAL)
         kinds = ("poll", "submit", "cancel") if number % 3 == 0 else ("poll", "submit")
-        await self.look(job_id, "accepted", *kinds)
+        await self.ask_all(job_id, "accepted", *kinds)
         if number % 3 == 1:
             await self.until(job_id, "poll", "running", *FINAL)
-            await asyncio.sleep(RUN_S * self.rng.uniform(0.6, 1.6))
+            await asyncio.sleep(TASK_RUN_S * self.rng.uniform(0.6, 1.6))
             await asyncio.gather(
                 *(self.request(job_id, kind, n) for n, kind in enumerate(("cancel", "poll", "cancel")))
             )
         told = await self.until(job_id, "poll", *FINAL)
-        await self.look(job_id, told, "poll", "submit", "cancel")
+        await self.ask_all(job_id, told, "poll", "submit", "cancel")
 
 
 async def start(file: Path) -> asyncio.subprocess.Process:
-    """A controller's process."""
+    """Start a controller's process."""
     return await asyncio.create_subprocess_exec(
         sys.executable, "run.py", "--config", str(file), cwd=ROOT, stderr=asyncio.subprocess.DEVNULL
     )
 
 
-async def play(directory: Path) -> SocketUsers:
-    stage = Stage(directory, CONTROLLERS, free_port_block(), RUN_S)
+async def run_scenario(directory: Path) -> SocketUsers:
+    stage = Stage(directory, CONTROLLERS, free_port_block(), TASK_RUN_S)
     await stage.start()
     files = stage.write_settings()
     processes = [await start(file) for file in files]
 
-    async def kill_and_start_again(number: int) -> None:
+    async def kill_and_restart(number: int) -> None:
         processes[number].kill()
         await processes[number].wait()
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         processes[number] = await start(files[number])
         users.restarts.append((number, time.monotonic_ns()))
 
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as client:
         users = SocketUsers(stage.apis, client, 1)
         try:
-            lives: list[asyncio.Task[Any]] = []
+            tasks: list[asyncio.Task[Any]] = []
             for number in range(JOBS):
-                lives.append(asyncio.create_task(users.live(number)))
+                tasks.append(asyncio.create_task(users.run_job(number)))
                 await asyncio.sleep(PAUSE_S)
                 if number in (JOBS // 3, 2 * JOBS // 3):
-                    lives.append(asyncio.create_task(kill_and_start_again(number % CONTROLLERS)))
-            await asyncio.gather(*lives)
+                    tasks.append(asyncio.create_task(kill_and_restart(number % CONTROLLERS)))
+            await asyncio.gather(*tasks)
         finally:
             for process in processes:
                 if process.returncode is None:
@@ -147,15 +160,15 @@
 
 
 def test_no_process_answers_something_older_when_users_ask_all_within_milliseconds(tmp_path: Path):
-    users = asyncio.run(asyncio.wait_for(play(tmp_path), BOUND_S))
-    # Every job ended, and after each sort of answer all controllers were asked within milliseconds.
-    assert {job_id for job_id, told in users.looked if told in FINAL} == {f"job-{n + 1}" for n in range(JOBS)}
+    users = asyncio.run(asyncio.wait_for(run_scenario(tmp_path), MAX_TEST_S))
+    # The case is reached: every job ended, and after each kind of answer all controllers were asked in milliseconds.
+    assert {job_id for job_id, told in users.asked_all if told in FINAL} == {f"job-{n + 1}" for n in range(JOBS)}
     for told in ("accepted", *FINAL):
-        assert sum(looked == told for _, looked in users.looked) >= 3
-    assert sorted(users.soonest_us)[len(users.soonest_us) // 2] < 20_000
+        assert sum(answer == told for _, answer in users.asked_all) >= 3
+    assert sorted(users.immediate_delays_us)[len(users.immediate_delays_us) // 2] < 20_000
     heard = [answer for answers in users.answers.heard.values() for answer in answers]
     assert {answer.node for answer in heard} == set(range(CONTROLLERS))
-    # Each process that came back at once answered again.
+    # Each restarted process answered again.
     assert len(users.restarts) == 2
     for number, back in users.restarts:
         assert any(answer.node == number and answer.asked > back for answer in heard)
--- a/tests/test_meetings_sockets_looks.py
+++ b/tests/test_meetings_sockets_looks.py
@@ -1,7 +1,7 @@
-"""Three processes on loopback: users ask all within milliseconds while one is killed, told to end or reads anew.
+"""Users ask all three processes within milliseconds while one is killed, stopped or reads all records anew.
 
-Meanwhile raw requests that must be refused go to every process, also in the first milliseconds of its start.
-Bounded to 40 s of wall time, of which a run needs about half.
+Meanwhile every process gets raw requests that must be refused, also in the first milliseconds after its start.
+The test is limited to 40 s of wall time; a run takes about half of that.
 """
 
 from __future__ import annotations
@@ -25,25 +25,28 @@
 from tests.test_daemon import free_port_block
 from tests.test_formats import SUBMISSION
 from tests.test_meetings_answers import Forgetful
-from tests.test_meetings_sockets import OVER, SocketUsers, start
+from tests.test_meetings_sockets import JOB_FIELDS, SocketUsers, start
 
-# They take ports that they do not hold while they start.
+# Free ports are chosen before the processes bind them, so tests that start processes run one after the other.
 pytestmark = pytest.mark.xdist_group("sockets")
 
-CONTROLLERS, JOBS, PAUSE_S, RUN_S = 3, 30, 0.25, 0.3
-BACK_S = 0.15
-"""How long after its end a process is started again."""
-BOUND_S = 40
-TRIES = 5
-"""Blocks of ports that are tried."""
-ODD_PAUSE_S = 0.01
-FIRST_S = 1.0
-"""For so long after its first answer a process counts as starting."""
+CONTROLLERS, JOBS, PAUSE_S, TASK_RUN_S = 3, 30, 0.25, 0.3
+"""The last two: seconds between two submissions, and seconds that a task runs."""
+RESTART_DELAY_S = 0.15
+"""How long after its end a process is restarted."""
+MAX_TEST_S = 40
+"""The limit of a run, in wall time."""
+MAX_PORT_TRIES = 5
+"""How many blocks of ports are tried."""
+REFUSED_PAUSE_S = 0.01
+"""The pause between two rounds of requests that must be refused."""
+STARTING_S = 1.0
+"""How long after its first answer a process counts as starting."""
 
 
 @dataclass(frozen=True)
-class Raw:
-    """A body as it is sent, and the statuses that may answer it."""
+class RawBody:
+    """The bytes of a body, and the HTTP statuses that may answer it."""
 
     name: str
     body: bytes
@@ -51,8 +54,8 @@
 
 
 def encoded(**over: Any) -> bytes:
-    """A submission with some fields replaced, or left out where they are `...`."""
-    body = {**SUBMISSION, **OVER, "name_id": "job-900001", **over}
+    """Return an encoded submission in which some fields are replaced, or left out where the value is `...`."""
+    body = {**SUBMISSION, **JOB_FIELDS, "name_id": "job-900001", **over}
     return msgspec.msgpack.encode({key: value for key, value in body.items() if value is not ...})
 
 
@@ -83,52 +86,52 @@
     ("over the limit", encoded(shape="gang", pieces=17, cpus=1.0)),
     ("waits on a job that nobody accepted", encoded(waits_on=["job-900002"])),
 ]
-REFUSED_AT_ONCE = [Raw(name, body, (400,)) for name, body in MALFORMED]
-REFUSED_ONCE_KNOWN = [Raw(name, body, (422, 429, 503)) for name, body in IMPOSSIBLE]
+REFUSED_AT_ONCE = [RawBody(name, body, (400,)) for name, body in MALFORMED]
+REFUSED_ONCE_KNOWN = [RawBody(name, body, (422, 429, 503)) for name, body in IMPOSSIBLE]
 BODIES = REFUSED_AT_ONCE + REFUSED_ONCE_KNOWN
 
 
 class Processes:
-    """The controllers' processes, of which one at a time ends and is started again."""
+    """The controllers' processes, of which one at a time ends and is restarted."""
 
     def __init__(self, files: list[Path]) -> None:
         self.files = files
         self.running: list[asyncio.subprocess.Process] = []
         self.answered_ns: list[int | None] = [None] * len(files)
-        """When each first answered."""
+        """When each process first answered; None if it has not."""
         self.restarts: list[tuple[int, int]] = []
-        """Controllers whose process ended, and when the next one was started."""
+        """Controllers whose process ended, and when the next process was started, in ns."""
 
     async def begin(self) -> None:
-        """Start all."""
+        """Start all processes."""
         for file in self.files:
             self.running.append(await start(file))
 
     async def end(self, number: int, how: signal.Signals) -> None:
-        """Kill one, or tell it to end, and start it again."""
+        """End one process by a signal and restart it."""
         self.running[number].send_signal(how)
         await self.running[number].wait()
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         self.answered_ns[number] = None
         self.restarts.append((number, time.monotonic_ns()))
         self.running[number] = await start(self.files[number])
 
     def is_starting(self, number: int) -> bool:
-        """Whether one that has just answered did so for the first time no longer than `FIRST_S` ago."""
+        """Return whether a process that has just answered gave its first answer less than `STARTING_S` ago."""
         now_ns = time.monotonic_ns()
-        since_ns = self.answered_ns[number] = self.answered_ns[number] or now_ns
-        return now_ns - since_ns < FIRST_S * 1e9
+        first_ns = self.answered_ns[number] = self.answered_ns[number] or now_ns
+        return now_ns - first_ns < STARTING_S * 1e9
 
     async def stop(self) -> None:
-        """Kill all."""
+        """Kill all processes."""
         for process in self.running:
             if process.returncode is None:
                 process.kill()
             await process.wait()
 
 
-class OddUsers:
-    """Users who send every process what must be refused, one body after the other."""
+class RefusedRequests:
+    """Requests that must be refused, sent to every process one after the other."""
 
     def __init__(self, apis: list[int], client: aiohttp.ClientSession, processes: Processes) -> None:
         self.apis = apis
@@ -137,75 +140,75 @@
         self.statuses: dict[str, Counter[int]] = {raw.name: Counter() for raw in BODIES}
         self.unknown: Counter[int] = Counter()
         self.while_starting: Counter[int] = Counter()
-        """By controller, the answers within `FIRST_S` of the first one of its process."""
+        """By controller, the answers that came within `STARTING_S` of the first answer of a process."""
 
-    async def run(self, node: int) -> None:
-        """Go on until cancelled."""
-        # Each process begins with other bodies, so that together they soon have met all.
-        turn = node * len(REFUSED_AT_ONCE) // CONTROLLERS
+    async def run(self, controller: int) -> None:
+        """Send requests to one controller until cancelled."""
+        # The processes begin with different bodies, so that every body is soon sent.
+        turn = controller * len(REFUSED_AT_ONCE) // CONTROLLERS
         while True:
             job = f"/submissions/job-{900_000 + turn % 50}"
             answered, *_ = await asyncio.gather(
-                self._submit(REFUSED_AT_ONCE[turn % len(REFUSED_AT_ONCE)], node),
-                self._submit(REFUSED_ONCE_KNOWN[turn % len(REFUSED_ONCE_KNOWN)], node),
-                self._ask_unknown("GET", job, node),
-                self._ask_unknown("POST", f"{job}/abort", node),
+                self._submit(REFUSED_AT_ONCE[turn % len(REFUSED_AT_ONCE)], controller),
+                self._submit(REFUSED_ONCE_KNOWN[turn % len(REFUSED_ONCE_KNOWN)], controller),
+                self._ask_unknown("GET", job, controller),
+                self._ask_unknown("POST", f"{job}/abort", controller),
             )
             turn += answered
-            await asyncio.sleep(ODD_PAUSE_S)
+            await asyncio.sleep(REFUSED_PAUSE_S)
 
-    async def _submit(self, raw: Raw, node: int) -> bool:
-        """Send one body; whether it was answered."""
-        status = await self._send("POST", node, "/submissions", raw.body)
+    async def _submit(self, raw: RawBody, controller: int) -> bool:
+        """Send one body and check its status; return whether it was answered."""
+        status = await self._send("POST", controller, "/submissions", raw.body)
         assert status in (0, *raw.statuses), (raw.name, status)
         self.statuses[raw.name][status] += 1
         return status != 0
 
-    async def _ask_unknown(self, method: str, path: str, node: int) -> None:
-        status = await self._send(method, node, path, None)
+    async def _ask_unknown(self, method: str, path: str, controller: int) -> None:
+        status = await self._send(method, controller, path, None)
         assert status in (0, 404, 429, 503), (path, status)
         self.unknown[status] += 1
 
-    async def _send(self, method: str, node: int, path: str, body: bytes | None) -> int:
-        url = f"http://127.0.0.1:{self.apis[node]}{path}"
+    async def _send(self, method: str, controller: int, path: str, body: bytes | None) -> int:
+        url = f"http://127.0.0.1:{self.apis[controller]}{path}"
         timeout = aiohttp.ClientTimeout(total=3)
         try:
             async with self.client.request(method, url, data=body, timeout=timeout) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0
-        if self.processes.is_starting(node):
-            self.while_starting[node] += 1
+        if self.processes.is_starting(controller):
+            self.while_starting[controller] += 1
         return response.status
 
 
 @dataclass
-class Played:
-    """What a run has brought about."""
+class RunResult:
+    """The outcome of a run."""
 
     users: SocketUsers
-    odd: OddUsers
+    refused: RefusedRequests
     processes: Processes
     reloads: int
-    """How often a controller was told to read everything anew."""
+    """How often a controller had to read all records anew."""
     recorded: set[str]
-    """The jobs that the state service knows of at the end."""
+    """The jobs in the state service's records at the end."""
 
 
 class CountingState(Forgetful):
-    """Counts how often it lacked the changes that a controller asked for."""
+    """Counts how often it no longer has the changes that a controller asks for."""
 
     reloads = 0
 
     def handle(self, now_us: int, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """Answer a request; one for changes with 410 where it was told to lack them."""
+        """Answer a request; a request for changes gets 410 while `lacks_changes` is set."""
         status, reply = super().handle(now_us, method, path, body)
         self.reloads += status == 410
         return status, reply
 
 
-async def lose_changes(state: CountingState) -> None:
-    """Again and again, just after something was accepted or ended, let the next controller read everything anew."""
+async def force_reloads(state: CountingState) -> None:
+    """Every 0.4 s, just after a write, make the next controller that asks for changes read all records anew."""
     revision = state.revision
     while True:
         await asyncio.sleep(0.4)
@@ -216,10 +219,10 @@
 
 
 async def restart_often(processes: Processes, rng: random.Random, users: SocketUsers) -> None:
-    """End one process after the other, each just after a user was told something, by a kill or by a word."""
+    """End one process after the other just after a user got an answer, first all by SIGKILL, then all by SIGTERM."""
     for turn in range(6):
-        heard = len(users.looked)
-        while len(users.looked) == heard:
+        heard = len(users.asked_all)
+        while len(users.asked_all) == heard:
             await asyncio.sleep(0.001)
         await asyncio.sleep(rng.uniform(0, 0.01))
         await processes.end(turn % CONTROLLERS, (signal.SIGKILL, signal.SIGTERM)[turn // CONTROLLERS])
@@ -227,9 +230,9 @@
 
 
 async def begin(directory: Path, state: CountingState) -> Stage:
-    """Everything around the controllers; ports that somebody else has taken meanwhile are left to them."""
-    for _ in range(TRIES):
-        stage = Stage(directory, CONTROLLERS, free_port_block(), RUN_S)
+    """Start everything around the controllers; try other ports if these have been taken in the meantime."""
+    for _ in range(MAX_PORT_TRIES):
+        stage = Stage(directory, CONTROLLERS, free_port_block(), TASK_RUN_S)
         stage.state = state
         try:
             await stage.start()
@@ -242,60 +245,60 @@
     raise AssertionError("no free ports")
 
 
-async def play(directory: Path) -> Played:
+async def run_scenario(directory: Path) -> RunResult:
     state = CountingState()
     stage = await begin(directory, state)
     processes = Processes(stage.write_settings())
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as client:
         users = SocketUsers(stage.apis, client, 1)
-        odd = OddUsers(stage.apis, client, processes)
-        troubles: list[asyncio.Task[Any]] = []
+        refused = RefusedRequests(stage.apis, client, processes)
+        background: list[asyncio.Task[Any]] = []
         try:
-            asking = [asyncio.create_task(odd.run(node)) for node in range(CONTROLLERS)]
-            troubles += asking
+            refused_tasks = [asyncio.create_task(refused.run(controller)) for controller in range(CONTROLLERS)]
+            background += refused_tasks
             await processes.begin()
-            lives = [asyncio.create_task(users.live(0))]
-            await lives[0]
-            troubles.append(asyncio.create_task(lose_changes(state)))
+            job_tasks = [asyncio.create_task(users.run_job(0))]
+            await job_tasks[0]
+            background.append(asyncio.create_task(force_reloads(state)))
             restarts = asyncio.create_task(restart_often(processes, random.Random(1), users))
             for number in range(1, JOBS):
-                lives.append(asyncio.create_task(users.live(number)))
+                job_tasks.append(asyncio.create_task(users.run_job(number)))
                 await asyncio.sleep(PAUSE_S)
-            await asyncio.gather(restarts, *lives)
+            await asyncio.gather(restarts, *job_tasks)
             while None in processes.answered_ns:
                 await asyncio.sleep(0.01)
-            # All are asked once more, also the one that came back last.
-            await users.live(JOBS)
-            for task in asking:
+            # All controllers are asked once more, including the one that was restarted last.
+            await users.run_job(JOBS)
+            for task in refused_tasks:
                 assert not task.done() or task.exception() is None, task.exception()
         finally:
-            for task in troubles:
+            for task in background:
                 task.cancel()
-            await asyncio.gather(*troubles, return_exceptions=True)
+            await asyncio.gather(*background, return_exceptions=True)
             await processes.stop()
             await stage.stop()
     recorded = {key.rpartition("/")[2] for key in state.keys if "/job-" in key}
-    return Played(users, odd, processes, state.reloads, recorded)
+    return RunResult(users, refused, processes, state.reloads, recorded)
 
 
 def test_no_process_answers_something_older_or_accepts_what_must_be_refused(tmp_path: Path):
-    played = asyncio.run(asyncio.wait_for(play(tmp_path), BOUND_S))
-    users, odd = played.users, played.odd
-    # All processes were killed once and told to end once, and read everything anew between.
-    assert Counter(number for number, _ in played.processes.restarts) == dict.fromkeys(range(CONTROLLERS), 2)
-    assert played.reloads >= 5
-    for number, back_ns in played.processes.restarts:
+    result = asyncio.run(asyncio.wait_for(run_scenario(tmp_path), MAX_TEST_S))
+    users, refused = result.users, result.refused
+    # The case is reached: each process was killed once and stopped once, and controllers read all records anew.
+    assert Counter(number for number, _ in result.processes.restarts) == dict.fromkeys(range(CONTROLLERS), 2)
+    assert result.reloads >= 5
+    for number, back_ns in result.processes.restarts:
         heard = [answer for answers in users.answers.heard.values() for answer in answers if answer.node == number]
         assert any(back_ns < answer.asked for answer in heard)
-    assert all(odd.while_starting[number] >= 6 for number in range(CONTROLLERS)), odd.while_starting
-    # All were asked within milliseconds of each sort of answer, and every job ended.
+    assert all(refused.while_starting[number] >= 6 for number in range(CONTROLLERS)), refused.while_starting
+    # All controllers were asked within milliseconds of each kind of answer, and every job ended.
     jobs = {f"job-{n + 1}" for n in range(JOBS + 1)}
-    assert {job_id for job_id, told in users.looked if told in FINAL} == jobs
+    assert {job_id for job_id, told in users.asked_all if told in FINAL} == jobs
     for told in ("accepted", *FINAL):
-        assert sum(looked == told for _, looked in users.looked) >= 3
-    assert sorted(users.soonest_us)[len(users.soonest_us) // 2] < 20_000
-    # Nothing that must be refused was accepted, and each was refused for good at some time.
-    assert played.recorded == jobs
+        assert sum(answer == told for _, answer in users.asked_all) >= 3
+    assert sorted(users.immediate_delays_us)[len(users.immediate_delays_us) // 2] < 20_000
+    # Nothing that must be refused was accepted, and every body got its final status at some time.
+    assert result.recorded == jobs
     for raw in BODIES:
-        assert odd.statuses[raw.name][raw.statuses[0]] >= 1, (raw.name, odd.statuses[raw.name])
-    assert odd.unknown[404] >= 20
+        assert refused.statuses[raw.name][raw.statuses[0]] >= 1, (raw.name, refused.statuses[raw.name])
+    assert refused.unknown[404] >= 20
