--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -15,10 +15,10 @@
 from ashtray.estimates.estimate_store import EstimateStore
 from ashtray.estimates.operators import answer_operator
 from ashtray.fleet.runner import FleetRunner
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import JOB_ID, NOW, ROOT
-from ashtray.jobs.pace import Pace
 from ashtray.jobs.service import JobService
-from ashtray.kernel import SECOND_US, Fiber, Kernel, Output, Reply
+from ashtray.kernel import SECOND_US, Coroutine, Kernel, Output, Reply
 from ashtray.peers import announcements
 from ashtray.peers.announcements import CancellationNotice, CancellationReceipt
 from ashtray.peers.presence import Peers, Presence, word_us
@@ -31,10 +31,10 @@
 from ashtray.store.client import VALUE_SHARE, Limits, StoreClient
 from ashtray.store.follower import Follower
 from ashtray.teams.grants import Grants
-from ashtray.workers.desk import Desk
 from ashtray.workers.folding import most_later
 from ashtray.workers.renewal import RenewalGuard
 from ashtray.workers.splitting import Splitter
+from ashtray.workers.worker_manager import WorkerManager
 
 CUT_OFF_US = 5 * SECOND_US
 """A controller that has not read the state service for longer than this counts as cut off from it."""
@@ -79,30 +79,30 @@
             self.store,
             self.follower,
         )
-        pace = Pace(
+        job_timing = JobTiming(
             settings.cluster.objectives,
             operator_settings.patience_s,
             lambda job_id: self.cluster_state.jobs.get(job_id),
         )
-        times = StatedTimes(settings.cluster.objectives, pace)
-        planner = Planner(base, times, MinimumShare(self.cluster_state, pace))
+        times = StatedTimes(settings.cluster.objectives, job_timing)
+        planner = Planner(base, times, MinimumShare(self.cluster_state, job_timing))
         self.presence = Presence(base, self.grants, FailureDetector(hosts, word_us(len(hosts))))
         self.renewal = RenewalGuard(settings.cluster.workers, hosts)
         self.peers = Peers(
             base,
             self.presence,
-            lambda: self.desk.heard_us(),
+            lambda: self.worker_manager.heard_us(),
             lambda: self._on_duties_changed(),
             self._on_peer_cancellations,
-            lambda cancelled: self.desk.delivery.settle(cancelled),
-            lambda job_id, settled: self.desk.delivery.void_elsewhere(job_id, settled),
+            lambda cancelled: self.worker_manager.delivery.settle(cancelled),
+            lambda job_id, settled: self.worker_manager.delivery.void_elsewhere(job_id, settled),
         )
-        self.desk = Desk(base, self.presence, self.peers, pace, self.renewal)
-        self.placer = Placer(base, self.presence, self.grants, pace, planner, self.desk)
-        self.jobs = JobService(base, self.presence, self.peers, planner, pace.estimates, self.placer.changed)
-        self.runner = FleetRunner(base, self.presence, self.peers, pace, planner)
+        self.worker_manager = WorkerManager(base, self.presence, self.peers, job_timing, self.renewal)
+        self.placer = Placer(base, self.presence, self.grants, job_timing, planner, self.worker_manager)
+        self.jobs = JobService(base, self.presence, self.peers, planner, job_timing.estimates, self.placer.changed)
+        self.runner = FleetRunner(base, self.presence, self.peers, job_timing, planner)
         self.splitter = Splitter(base, self.presence)
-        self.estimate_store = EstimateStore(base, self.presence, pace.estimates)
+        self.estimate_store = EstimateStore(base, self.presence, job_timing.estimates)
 
     def _on_duties_changed(self) -> None:
         """React to a peer that is newly suspected, or no longer suspected.
@@ -115,7 +115,7 @@
     def _note_cancelled_elsewhere(self, job_ids: list[str]) -> None:
         """Record cancellations that a peer knows and this controller may not have read, and end the jobs' tasks."""
         if self.cluster_state.note_cancelled_elsewhere(job_ids):
-            self.desk.tend_all(self.cluster_state.take_touched())
+            self.worker_manager.tend_all(self.cluster_state.take_touched())
 
     def _on_peer_cancellations(self, host: str, asked_us: int, cancelled: list[str]) -> None:
         """Handle a peer's statement of all cancellations that it knows and this controller had not read."""
@@ -133,9 +133,9 @@
             self._note_cancelled_elsewhere(notice.cancelled)
         self.kernel.spawn(self._answer_when_settled(request_id, notice.cancelled))
 
-    def _answer_when_settled(self, request_id: int, cancelled: list[str]) -> Fiber[None]:
+    def _answer_when_settled(self, request_id: int, cancelled: list[str]) -> Coroutine[None]:
         """Answer a peer's notice once no worker that reports here can start tasks of these jobs, or shortly after."""
-        settled = yield from self.desk.delivery.settle(cancelled)
+        settled = yield from self.worker_manager.delivery.settle(cancelled)
         self.kernel.answer(request_id, 200, msgspec.to_builtins(CancellationReceipt(settled)))
 
     def _on_state_changed(self) -> None:
@@ -151,12 +151,12 @@
         if self.cluster_state.changes != self._seen_changes:
             self._seen_changes = self.cluster_state.changes
             self.placer.changed()
-            self.desk.tend_all(self.cluster_state.take_touched())
+            self.worker_manager.tend_all(self.cluster_state.take_touched())
         if self.cluster_state.unconfirmed():
             # The next stage of a pipeline may wait for these records.
             self.follower.hurry()
 
-    def _log_counters(self) -> Fiber[None]:
+    def _log_counters(self) -> Coroutine[None]:
         """Log, at level debug, what the shared request budgets and the working time were spent on."""
         for what, counts in (("state", self.store.counts), ("placer", self.placer.counts)):
             parts = [f"{name} {number}" for name, number in sorted(counts.items())]
@@ -167,7 +167,7 @@
         self.kernel.log(
             "debug",
             f"cluster state: {len(cluster_state.machines)} machines, {len(cluster_state.groups)} groups, "
-            f"{len(cluster_state.jobs)} jobs, {waiting} tasks wait, {len(self.desk.workers)} workers here",
+            f"{len(cluster_state.jobs)} jobs, {waiting} tasks wait, {len(self.worker_manager.workers)} workers here",
         )
         by_class: Counter[str] = Counter()
         for job_id, tasks in cluster_state.waiting().items():
@@ -207,15 +207,15 @@
             kernel.forever(partial(self.peers.run, peer), 0)
         kernel.forever(self.peers.budget, SECOND_US)
         kernel.forever(self.runner.round, 0)
-        kernel.forever(self.desk.fold, 0)
-        kernel.forever(self.desk.adopt, 0)
-        kernel.forever(self.desk.tidy, SECOND_US)
+        kernel.forever(self.worker_manager.fold, 0)
+        kernel.forever(self.worker_manager.adopt, 0)
+        kernel.forever(self.worker_manager.tidy, SECOND_US)
         kernel.forever(self.splitter.run, 0)
         kernel.forever(self.estimate_store.run, 0)
         kernel.forever(self.jobs.states.resolve, 0)
         kernel.forever(self.jobs.cancelling.bury, 0)
         kernel.forever(self._log_counters, COUNTERS_INTERVAL_US)
-        kernel.forever(self.desk.sweep, 20 * SECOND_US)
+        kernel.forever(self.worker_manager.sweep, 20 * SECOND_US)
         return kernel.run()
 
     def wake(self, now_us: int, wall_us: int) -> list[Output]:
@@ -231,7 +231,7 @@
             self.kernel.spawn(self._hand_over())
         return self.kernel.run()
 
-    def _hand_over(self) -> Fiber[None]:
+    def _hand_over(self) -> Coroutine[None]:
         yield from self.presence.leave()
         self.ended = True
 
@@ -291,7 +291,7 @@
         allowed = "POST"
         if path == "/hello" and not forwarded:
             if method == "POST":
-                self.desk.on_report(request_id, body if readable else None)
+                self.worker_manager.on_report(request_id, body if readable else None)
                 return
         elif path == "/up" and not forwarded:
             allowed = "GET"
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -21,7 +21,7 @@
 from ashtray.base import Base
 from ashtray.estimates.learned import Estimates
 from ashtray.estimates.model import BINS, MOMENT_COUNT, ROW_LENGTH, WEIGHT, merge
-from ashtray.kernel import SECOND_US, Fiber, Sleep
+from ashtray.kernel import SECOND_US, Coroutine, Sleep
 from ashtray.peers.presence import Presence
 from ashtray.placement.state_keys import ESTIMATE
 from ashtray.store.client import Txn, Urgency
@@ -174,7 +174,7 @@
         if record.applied.get(self.base.settings.host_name) != sent.fold:
             self.estimates.restore(sent.rows)
 
-    def run(self) -> Fiber[None]:
+    def run(self) -> Coroutine[None]:
         """Wait for the check interval, then fold new observations into the record of one shard.
 
         Nothing is folded before the next fold is due, or while the write budget is scarce.
@@ -198,7 +198,7 @@
             self._folded_us = base.kernel.now_us
             yield from self._fold(max(open_shards, key=lambda shard: (len(shards[shard]), shard)))
 
-    def _fold(self, shard: int) -> Fiber[None]:
+    def _fold(self, shard: int) -> Coroutine[None]:
         """Fold the new observations of one shard into its record, or send its unanswered fold again."""
         base = self.base
         if shard in self._unanswered and not (yield from base.follower.barrier()):
--- a/ashtray/fleet/cloud_client.py
+++ b/ashtray/fleet/cloud_client.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ashtray.base import Base
-from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Sleep
+from ashtray.kernel import SECOND_US, Call, Coroutine, Reply, Sleep
 from ashtray.store.client import Bucket
 
 TIMEOUT_US = 5 * SECOND_US
@@ -39,7 +39,7 @@
 
     def request(
         self, method: str, path: str, body: Any = None, allowed: Callable[[], bool] = lambda: True
-    ) -> Fiber[Reply]:
+    ) -> Coroutine[Reply]:
         """Send one request as soon as the rate limit allows it, and return the reply.
 
         `allowed` is called after that wait, immediately before the request is sent.  If it returns False, nothing is
@@ -56,7 +56,7 @@
             self.kernel.log("debug", f"cloud: {method} {path}: {reply.status}")
         return reply
 
-    def _wait_for_turn(self) -> Fiber[None]:
+    def _wait_for_turn(self) -> Coroutine[None]:
         while True:
             self.bucket.refill(self.kernel.now_us)
             if self.bucket.has(1):
--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -17,7 +17,7 @@
 from ashtray.fleet.machine_review import MachineReview
 from ashtray.fleet.messages import deletion
 from ashtray.jobs.model import LIVE, Job
-from ashtray.kernel import Fiber
+from ashtray.kernel import Coroutine
 from ashtray.placement.machine_groups import Machine
 from ashtray.placement.preemption import Victims, orderly, stop_victims
 from ashtray.store.client import Txn, Urgency
@@ -50,7 +50,7 @@
 
     # Draining
 
-    def drain_lost(self) -> Fiber[None]:
+    def drain_lost(self) -> Coroutine[None]:
         """Begin to return machines that never came up, fell silent, failed or are idle."""
         lost = self.review.lost_pending() + self.review.lost_or_idle()
         yield from self._checkpoint_gangs()
@@ -58,7 +58,7 @@
         self.inventory.draining.update(name for name in lost if name not in machines)
         yield from self._drain([name for name in lost if name in machines])
 
-    def _checkpoint_gangs(self) -> Fiber[None]:
+    def _checkpoint_gangs(self) -> Coroutine[None]:
         """Preempt the gangs that are about to lose a machine: all tasks at once, so that they write a checkpoint.
 
         A gang that cannot be stopped in one transaction goes on and falls back to its last checkpoint: stopping only
@@ -76,7 +76,7 @@
                 seen.add(job.id)
                 yield from self._preempt_gang(job, machine)
 
-    def _preempt_gang(self, job: Job, machine: Machine) -> Fiber[None]:
+    def _preempt_gang(self, job: Job, machine: Machine) -> Coroutine[None]:
         victims: Victims = {}
         for (name, _), allocation in self.base.cluster_state.allocations[job.id].items():
             victims.setdefault(name, {}).setdefault((job.id, allocation.attempt), set()).update(allocation.tasks)
@@ -84,7 +84,7 @@
         if (yield from self.base.follower.commit(build, len(victims), Urgency.FREE, "stop")):
             self.kernel.log("info", f"{job.id} is stopped with a checkpoint: {machine.name} is being returned")
 
-    def _drain(self, names: list[str]) -> Fiber[None]:
+    def _drain(self, names: list[str]) -> Coroutine[None]:
         """Mark machines as being returned, one write for each group, so that nothing is placed on them any more."""
         marked: list[str] = []
         draining = self.inventory.draining
@@ -130,7 +130,7 @@
 
     # Deletion
 
-    def delete_drained(self) -> Fiber[None]:
+    def delete_drained(self) -> Coroutine[None]:
         """Delete the drained machines; once the cloud has confirmed that, free their allocations."""
         self._keep_adopted()
         names = sorted(self.inventory.draining)[:MAX_DELETED]
@@ -158,7 +158,7 @@
 
     # Freeing
 
-    def _remove_deleted(self, names: list[str]) -> Fiber[None]:
+    def _remove_deleted(self, names: list[str]) -> Coroutine[None]:
         """Remove machines whose deletion is confirmed from their group records, with their allocations."""
         draining = self.inventory.draining
         machines = self.base.cluster_state.machines
@@ -180,7 +180,7 @@
         machines = self.base.cluster_state.machines
         draining.difference_update(name for name in names if name not in machines)
 
-    def _drain_unmarked(self, names: list[str]) -> Fiber[None]:
+    def _drain_unmarked(self, names: list[str]) -> Coroutine[None]:
         """Mark deleted machines that got a record after they were given up: placement on them must stop first."""
         machines = self.base.cluster_state.machines
         unmarked = [name for name in names if not machines[name].record.retiring]
--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -17,8 +17,8 @@
 from ashtray.fleet.forecast import NEVER_US, Forecast, FutureMachine, future_machines
 from ashtray.fleet.machine_inventory import MachineInventory
 from ashtray.fleet.machine_kind import NO_KIND, MachineKind
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import Job, JobSpec
-from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
 from ashtray.placement.machine_groups import Machine
 from ashtray.placement.plan import Plan, Planner
@@ -64,7 +64,7 @@
     def __init__(
         self,
         base: Base,
-        pace: Pace,
+        job_timing: JobTiming,
         planner: Planner,
         inventory: MachineInventory,
         boot_times: BootTimes,
@@ -72,7 +72,7 @@
     ) -> None:
         self.base = base
         self.kernel = base.kernel
-        self.pace = pace
+        self.job_timing = job_timing
         self.planner = planner
         self.inventory = inventory
         self.boot_times = boot_times
@@ -95,7 +95,7 @@
         if not jobs:
             self.needed = set()
             return {}
-        machines = future_machines(self.base.cluster_state, plan.rooms, wall_us, ready_us, self.pace.run_us)
+        machines = future_machines(self.base.cluster_state, plan.rooms, wall_us, ready_us, self.job_timing.run_us)
         forecast = Forecast(machines)
         demand: dict[MachineKind, int] = {}
         for job in jobs:
@@ -153,7 +153,7 @@
     def _serve(self, job: Job, subset: TaskSubset, forecast: Forecast, demand: dict[MachineKind, int]) -> None:
         """Place tasks in the forecast, and add the machines that they call for to `demand`."""
         ask, remaining = subset.ask, subset.tasks
-        run_us = self.pace.run_us(job)
+        run_us = self.job_timing.run_us(job)
         thresholds = self._thresholds(job, ask)
         while remaining > 0 and forecast.remaining_steps > 0:
             start_us = forecast.earliest(ask)
@@ -177,12 +177,12 @@
         suitable = self._candidates(job.spec)
         cheapest = suitable[0] if suitable else Candidate(0.0, NO_KIND)
         candidates = [candidate for candidate in suitable if not self.backoff.is_blocked(candidate.kind)]
-        if job.spec.job_class in self.pace.urgent:
+        if job.spec.job_class in self.job_timing.wait_objectives_s:
             self.cheapest_for_urgent[job.spec.job_class] = cheapest.kind
         if job.spec.same_zone and ask.zone is None and candidates:
             ask.zone = candidates[0].kind.zone
-        patience_s = self.pace.patience_s(job)
-        latest_us = self.pace.latest_start_us(job)
+        patience_s = self.job_timing.patience_s(job)
+        latest_us = self.job_timing.latest_start_us(job)
         return [
             self._threshold(candidate, cheapest.price, patience_s, latest_us)
             for candidate in candidates
--- a/ashtray/fleet/fleet_lease.py
+++ b/ashtray/fleet/fleet_lease.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ashtray.base import Base
-from ashtray.kernel import SECOND_US, Fiber
+from ashtray.kernel import SECOND_US, Coroutine
 from ashtray.peers.presence import Presence
 from ashtray.placement.state_keys import FLEET
 from ashtray.store.client import Txn, Urgency
@@ -54,7 +54,7 @@
         """Make a transaction fail if another controller has taken the fleet over (safety point 22); return it."""
         return txn.guard(FLEET, self.term)
 
-    def update(self) -> Fiber[NewTerm | None]:
+    def update(self) -> Coroutine[NewTerm | None]:
         """Stop leading the fleet if the key is lost, and take the key if it is this controller's turn.
 
         Returns the new term if one has begun, otherwise None, also if this controller got its former term back.
@@ -76,7 +76,7 @@
         # If the term is unchanged, no other controller has led the fleet: what is known here is still valid.
         return None if previous == self.term else NewTerm(previous, self.term)
 
-    def _take(self) -> Fiber[None]:
+    def _take(self) -> Coroutine[None]:
         # The guard on the version of the key lets only one of several controllers take it.
         txn = Txn().guard(FLEET, self.base.cluster_state.version(FLEET))
         value = {"host": self.base.settings.host_name, "incarnation": self.presence.incarnation}
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -9,7 +9,7 @@
 from ashtray.fleet.machine_inventory import MachineInventory
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.fleet.provisioning import Provisioning
-from ashtray.kernel import Fiber
+from ashtray.kernel import Coroutine
 from ashtray.peers.presence import INTENTS, Peers
 from ashtray.standby.book import OLD_US, Book, latest
 from ashtray.standby.takeover import Check, Takeover
@@ -93,7 +93,7 @@
 
     # The checks
 
-    def run_checks(self) -> Fiber[None]:
+    def run_checks(self) -> Coroutine[None]:
         """Make the missing checks in order, up to the first one that does not pass yet: see `standby/takeover.py`."""
         takeover = self.takeover
         if takeover.missing(Check.READ):
@@ -136,7 +136,7 @@
         caught_up = self.kernel.now_us - self._began_us >= self.inventory.list_lag_us()
         return bool(written or not others or caught_up)
 
-    def _repeat_intents(self) -> Fiber[bool]:
+    def _repeat_intents(self) -> Coroutine[bool]:
         """Repeat the predecessor's unanswered requests under their names, and expect its machines (safety point 22).
 
         Returns False if the cloud does not answer.
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -11,7 +11,7 @@
 from ashtray.fleet.cloud_client import CloudClient
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.fleet.messages import ListedMachine, MachineList
-from ashtray.kernel import SECOND_US, Fiber
+from ashtray.kernel import SECOND_US, Coroutine
 from ashtray.peers.presence import Peers, Presence
 from ashtray.standby.intents import Intent
 
@@ -92,7 +92,7 @@
         """Return whether it is time to read the cloud's list again."""
         return self.kernel.now_us - self.listed_us >= LIST_US
 
-    def read_list(self) -> Fiber[None]:
+    def read_list(self) -> Coroutine[None]:
         """Read all pages of the cloud's list.  If one page cannot be read, the previous list stays."""
         began_us = self.kernel.now_us
         after = ""
--- a/ashtray/fleet/provisioning.py
+++ b/ashtray/fleet/provisioning.py
@@ -17,7 +17,7 @@
 from ashtray.fleet.machine_inventory import MachineInventory
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.fleet.messages import rental, rented_names
-from ashtray.kernel import SECOND_US, Fiber, Reply
+from ashtray.kernel import SECOND_US, Coroutine, Reply
 from ashtray.peers.presence import INTENTS
 from ashtray.placement.state_keys import RENTALS
 from ashtray.standby.intents import Intent, Intents
@@ -61,7 +61,7 @@
         self._had_demand = True
         """Whether the last forecast called for machines: then the next one is made sooner."""
 
-    def run(self, takeover: Takeover) -> Fiber[None]:
+    def run(self, takeover: Takeover) -> Coroutine[None]:
         """Compute the demand, if a forecast is due, and rent the machines that it calls for."""
         if takeover.decided and not self._forecast_due():
             return
@@ -85,7 +85,7 @@
         )
         return self.kernel.now_us - self._forecast_us >= pause_us
 
-    def _rent(self, demand: dict[MachineKind, int]) -> Fiber[None]:
+    def _rent(self, demand: dict[MachineKind, int]) -> Coroutine[None]:
         batch: list[Intent] = []
         build = partial(self._intents_transaction, demand, batch)
         # Safety point 22: a request is sent to the cloud only once its name is committed.
@@ -122,7 +122,7 @@
         """Drop intents whose machines are all in `seen`, or that are so old that the list must show them."""
         self.intents.settle(seen, self.kernel.wall_us - self.inventory.list_lag_us() - MAX_CLOCK_SKEW_US)
 
-    def request_unanswered(self) -> Fiber[bool]:
+    def request_unanswered(self) -> Coroutine[bool]:
         """Send the requests of all intents without an answer; return False if the cloud does not answer one."""
         for intent in self.intents.unanswered():
             # Repeating a request that the cloud has executed returns the same machines.
@@ -130,7 +130,7 @@
                 return False
         return True
 
-    def _request(self, intent: Intent) -> Fiber[bool]:
+    def _request(self, intent: Intent) -> Coroutine[bool]:
         """Send the request of an intent; return False without an answer, or if the fleet's key was lost."""
         if not self.lease.holds():
             return False
--- a/ashtray/fleet/runner.py
+++ b/ashtray/fleet/runner.py
@@ -19,8 +19,8 @@
 from ashtray.fleet.machine_review import MachineReview
 from ashtray.fleet.provisioning import Provisioning
 from ashtray.fleet.type_catalogue import TypeCatalogue
-from ashtray.jobs.pace import Pace
-from ashtray.kernel import SECOND_US, Fiber, Signal, Wait
+from ashtray.jobs.job_timing import JobTiming
+from ashtray.kernel import SECOND_US, Coroutine, Signal, Wait
 from ashtray.peers.presence import Peers, Presence
 from ashtray.placement.plan import Planner
 
@@ -31,7 +31,7 @@
 class FleetRunner:
     """Runs in each controller: leads the fleet, or takes the fleet lease when it is this controller's turn."""
 
-    def __init__(self, base: Base, presence: Presence, peers: Peers, pace: Pace, planner: Planner) -> None:
+    def __init__(self, base: Base, presence: Presence, peers: Peers, job_timing: JobTiming, planner: Planner) -> None:
         self.base = base
         self.presence = presence
         self.kick = Signal()
@@ -42,7 +42,7 @@
         self.lease = FleetLease(base, presence)
         self.types = TypeCatalogue(base, self.cloud)
         self.inventory = MachineInventory(base, presence, peers, self.cloud)
-        forecaster = DemandForecaster(base, pace, planner, self.inventory, boot_times, backoff)
+        forecaster = DemandForecaster(base, job_timing, planner, self.inventory, boot_times, backoff)
         self.provisioning = Provisioning(base, self.lease, self.cloud, self.inventory, forecaster, backoff)
         review = MachineReview(base, self.inventory, forecaster, boot_times, backoff)
         self.decommissioning = Decommissioning(base, self.lease, self.cloud, self.inventory, review)
@@ -53,7 +53,7 @@
         """Return whether this controller is the fleet leader."""
         return self.lease.running
 
-    def round(self) -> Fiber[None]:
+    def round(self) -> Coroutine[None]:
         """Wait for the next round, then update the fleet lease and, as the leader, rent and return machines."""
         yield Wait(self.kick, ROUND_US)
         if not self.base.follower.loaded or not self.presence.incarnation:
@@ -72,7 +72,7 @@
                 return
         yield from self._decide()
 
-    def _decide(self) -> Fiber[None]:
+    def _decide(self) -> Coroutine[None]:
         if self.inventory.list_due():
             yield from self.inventory.read_list()
         if not self.inventory.listed_us:
--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -10,7 +10,7 @@
 from ashtray.base import Base
 from ashtray.fleet.cloud_client import CloudClient
 from ashtray.fleet.messages import parse_types
-from ashtray.kernel import SECOND_US, Fiber
+from ashtray.kernel import SECOND_US, Coroutine
 from ashtray.placement import compact_record
 from ashtray.placement.records import MachineType
 from ashtray.placement.state_keys import TYPES
@@ -37,7 +37,7 @@
         self._unwritten: Types | None = None
         """The types that were read last, if they could not be written."""
 
-    def refresh(self, running: bool) -> Fiber[None]:
+    def refresh(self, running: bool) -> Coroutine[None]:
         """Request the cloud's types once a minute if this controller leads the fleet or knows no types at all."""
         if self._unwritten is not None and self._is_written(self._unwritten):
             # Another controller has written them: when all start together, each of them requests the types.
@@ -63,7 +63,7 @@
         """Return whether the cluster state has exactly these types, completely written."""
         return types == self.base.cluster_state.types and self.base.cluster_state.types_complete
 
-    def _write(self, types: Types) -> Fiber[bool]:
+    def _write(self, types: Types) -> Coroutine[bool]:
         """Write the records that differ, `TYPES` last.  Returns False if some may not have been written."""
         records = self._records(types)
         known = self.base.cluster_state.type_records()
@@ -83,7 +83,7 @@
             return {TYPES: types}
         return {TYPES: {}, **{f"{TYPES}/{name}": {name: machine_type} for name, machine_type in types.items()}}
 
-    def _commit(self, puts: dict[str, Types], removes: Iterable[str]) -> Fiber[bool]:
+    def _commit(self, puts: dict[str, Types], removes: Iterable[str]) -> Coroutine[bool]:
         """Write and remove records, with as many in a transaction as fit.  Returns False if a transaction failed."""
         remaining: list[RecordWrite] = [*puts.items(), *((key, None) for key in removes)]
         while remaining:
--- a/ashtray/jobs/accepting.py
+++ b/ashtray/jobs/accepting.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ashtray.jobs.model import LIVE, OVER
-from ashtray.kernel import Fiber, Kernel, Reply, Signal
+from ashtray.kernel import Coroutine, Kernel, Reply, Signal
 from ashtray.store.client import Limits, StoreClient, Txn, Urgency
 
 MAX_CONCURRENT_TXNS = 4
@@ -56,7 +56,7 @@
         self._in_flight: dict[str, PendingJob] = {}
         self._committers = 0
 
-    def accept(self, job_id: str, value: Any) -> Fiber[tuple[int, int]]:
+    def accept(self, job_id: str, value: Any) -> Coroutine[tuple[int, int]]:
         """Write a job's first record; returns the state service's status and revision.
 
         200: the job is accepted.  409: it was accepted before.  Any other status leaves open whether it was accepted.
@@ -73,14 +73,14 @@
         status, revision = yield job.outcome
         return status, revision
 
-    def _commit_pending(self) -> Fiber[None]:
+    def _commit_pending(self) -> Coroutine[None]:
         try:
             while self._pending:
                 yield from self._commit_batch()
         finally:
             self._committers -= 1
 
-    def _commit_batch(self) -> Fiber[None]:
+    def _commit_batch(self) -> Coroutine[None]:
         batch: list[PendingJob] = []
 
         def build() -> Txn | None:
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -8,7 +8,7 @@
 from ashtray.jobs.answers import AnswerSender, Ended, JobState, RetryLater, UserAnswer
 from ashtray.jobs.model import MOST_LATER, Job
 from ashtray.jobs.states import JobStates
-from ashtray.kernel import SECOND_US, Fiber, Sleep
+from ashtray.kernel import SECOND_US, Coroutine, Sleep
 from ashtray.peers.presence import Peers, Presence
 from ashtray.placement.state_keys import split_key
 from ashtray.store.client import Txn, Urgency
@@ -29,11 +29,11 @@
         self.states = states
         self.sender = sender
 
-    def cancel(self, request_id: int, job_id: str) -> Fiber[None]:
+    def cancel(self, request_id: int, job_id: str) -> Coroutine[None]:
         """Cancel a job and answer its user's request."""
         self.sender.send(request_id, (yield from self._cancel(job_id)))
 
-    def _cancel(self, job_id: str) -> Fiber[UserAnswer]:
+    def _cancel(self, job_id: str) -> Coroutine[UserAnswer]:
         deadline_us = self.kernel.now_us + CONFLICT_RETRY_US
         build = partial(self.transaction, job_id)
         attempts = 0
@@ -53,7 +53,7 @@
                 return Ended(job_id, "cancelled")
         return RetryLater("not cancelled yet")
 
-    def _announce_found(self, job_id: str, attempts: int) -> Fiber[None]:
+    def _announce_found(self, job_id: str, attempts: int) -> Coroutine[None]:
         """Announce a cancellation that was found by reading, because its controller may not have announced it.
 
         The answer to this controller's own transaction may have been lost, or another controller may have crashed
@@ -91,7 +91,7 @@
                 return None
         return end_job(txn, job, "cancelled", len(cluster_state.finished(job)), self.kernel.wall_us)
 
-    def bury(self) -> Fiber[None]:
+    def bury(self) -> Coroutine[None]:
         """Write the final states of jobs that count as cancelled because a dependency was cancelled."""
         base = self.base
         yield Sleep(SECOND_US)
--- a/ashtray/jobs/forwarding.py
+++ b/ashtray/jobs/forwarding.py
@@ -7,7 +7,7 @@
 
 from ashtray.base import Base
 from ashtray.jobs.answers import STATE_UNREADABLE, AnswerSender, PeerAnswer
-from ashtray.kernel import Call, Fiber, Reply
+from ashtray.kernel import Call, Coroutine, Reply
 from ashtray.peers.presence import Peers, Presence
 
 FORWARD_TIMEOUT_US = 850_000
@@ -54,7 +54,7 @@
         else:
             self.base.kernel.spawn(self._forward(request_id, peers[:2], request))
 
-    def _forward(self, request_id: int, peers: list[str], request: UserRequest) -> Fiber[None]:
+    def _forward(self, request_id: int, peers: list[str], request: UserRequest) -> Coroutine[None]:
         """Ask peers one after the other, and pass on the first answer with a status in `RELAYED`.
 
         The peers are those that were heard from last, but one may be unreachable by now, and users wait 2 s.
--- a/ashtray/jobs/pace.py
+++ b/ashtray/jobs/job_timing.py
@@ -18,7 +18,7 @@
 """Jobs for which no objective states a time wait this many times as long before they take more expensive machines."""
 
 
-class Pace:
+class JobTiming:
     """The objectives that state times, by job class, and the learned run times of tasks."""
 
     def __init__(
@@ -28,14 +28,16 @@
         self.watch = Watch(self.estimates, job_of)
         self._patience_s = patience_s
         wait_objectives = [o for o in objectives if o.kind == "wait" and o.job_class and o.within_s]
-        self.urgent: dict[str, float] = {}
+        self.wait_objectives_s: dict[str, float] = {}
         """For each class with an objective on waiting, the shortest time stated, in seconds."""
         self._timed_classes = {str(o.job_class) for o in objectives if o.kind in TIME_OBJECTIVES and o.job_class}
         # An objective on guarantees applies to the jobs within them, of every class.
         self._all_timed = not self._timed_classes or any(o.kind == "guarantee" for o in objectives)
         for objective in wait_objectives:
             within_s = objective.within_s or 0.0
-            self.urgent[str(objective.job_class)] = min(within_s, self.urgent.get(str(objective.job_class), within_s))
+            self.wait_objectives_s[str(objective.job_class)] = min(
+                within_s, self.wait_objectives_s.get(str(objective.job_class), within_s)
+            )
 
         self._finished_s: dict[str, float] = {}
         """For each class with an objective on being done, the shortest time stated, in seconds."""
@@ -49,7 +51,7 @@
 
         None for jobs that should start at once and for jobs that no objective gives a time to be done.
         """
-        if job.spec.job_class in self.urgent or job.latest_us is not None and job.spec.deadline_us is None:
+        if job.spec.job_class in self.wait_objectives_s or job.latest_us is not None and job.spec.deadline_us is None:
             # A job whose dependents have deadlines must not use up their time.
             return None
         within_s = self._finished_s.get(job.spec.job_class)
@@ -73,10 +75,10 @@
 
         A machine at three times that price is worth two such waits.
         """
-        if job.spec.job_class in self.urgent:
+        if job.spec.job_class in self.wait_objectives_s:
             return self._patience_s / 4
-        return self._patience_s if self.timed(job) else self._patience_s * UNTIMED_PATIENCE_FACTOR
+        return self._patience_s if self.has_time_objective(job) else self._patience_s * UNTIMED_PATIENCE_FACTOR
 
-    def timed(self, job: Job) -> bool:
+    def has_time_objective(self, job: Job) -> bool:
         """Return whether an objective or a deadline, its own or a dependent's, states a time for a job."""
         return self._all_timed or job.spec.job_class in self._timed_classes or job.latest_us is not None
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -14,7 +14,7 @@
 from ashtray.jobs.model import Job
 from ashtray.jobs.states import JobStates
 from ashtray.jobs.submitting import SubmissionHandler
-from ashtray.kernel import Fiber
+from ashtray.kernel import Coroutine
 from ashtray.peers.presence import Peers, Presence
 from ashtray.placement.explain import explain
 from ashtray.placement.plan import Planner
@@ -76,7 +76,7 @@
         else:
             self.kernel.spawn(self._poll(request_id, job_id))
 
-    def _poll(self, request_id: int, job_id: str) -> Fiber[None]:
+    def _poll(self, request_id: int, job_id: str) -> Coroutine[None]:
         self.sender.send(request_id, (yield from self.states.look_up(job_id, Urgency.FREE)))
 
     def abort(self, request_id: int, job_id: str, forwarded: bool = False) -> None:
@@ -93,7 +93,7 @@
         else:
             self.kernel.spawn(self._explain(request_id, job_id))
 
-    def _explain(self, request_id: int, job_id: str) -> Fiber[None]:
+    def _explain(self, request_id: int, job_id: str) -> Coroutine[None]:
         answer: UserAnswer = yield from self.states.look_up(job_id)
         job = self.base.cluster_state.jobs.get(job_id)
         if isinstance(answer, JobState) and job is not None:
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -7,7 +7,7 @@
 from ashtray.base import Base
 from ashtray.jobs.answers import STATE_UNREADABLE, JobState, NeverAccepted, RetryLater
 from ashtray.jobs.model import OVER, Job
-from ashtray.kernel import SECOND_US, Fiber, Signal, Sleep, Wait
+from ashtray.kernel import SECOND_US, Coroutine, Signal, Sleep, Wait
 from ashtray.store.client import Urgency
 from ashtray.workers.folding import ends_later
 
@@ -51,7 +51,7 @@
             return JobState(job_id, "cancelled")
         return None
 
-    def look_up(self, job_id: str, urgency: Urgency = Urgency.ACCEPT) -> Fiber[LookUpResult]:
+    def look_up(self, job_id: str, urgency: Urgency = Urgency.ACCEPT) -> Coroutine[LookUpResult]:
         """Return a job's state as of a moment after this call, or `RetryLater` if it cannot be read."""
         cluster_state = self.base.cluster_state
         while job_id not in cluster_state.over:
@@ -97,7 +97,7 @@
             job.id, status, len(cluster_state.finished(job)), running, tuple(cluster_state.dependencies.open(job))
         )
 
-    def _fetch_final(self, job_id: str, urgency: Urgency) -> Fiber[RetryLater | None]:
+    def _fetch_final(self, job_id: str, urgency: Urgency) -> Coroutine[RetryLater | None]:
         """Read a final state, or wait for a read in flight; returns None, or the answer to give if that failed."""
         ongoing = self._reads.get(job_id)
         if ongoing is not None:
@@ -106,7 +106,7 @@
             return RetryLater("too many final states are being read")
         return None if (yield from self._read_final(job_id, urgency)) in CONCLUSIVE else STATE_UNREADABLE
 
-    def _read_dependencies(self, job: Job, urgency: Urgency) -> Fiber[bool | None]:
+    def _read_dependencies(self, job: Job, urgency: Urgency) -> Coroutine[bool | None]:
         """Read the unknown final states of a job's transitive dependencies, since it may be cancelled with one.
 
         Returns True if all were known, None if some were read, and False if a read failed.
@@ -127,7 +127,7 @@
                 return False
         return known
 
-    def resolve(self) -> Fiber[None]:
+    def resolve(self) -> Coroutine[None]:
         """Read the final states of dependencies that ended before the cluster state was first read.
 
         A job is not ready before the ends of all its dependencies are known.  Final states are not loaded at a start,
@@ -145,13 +145,13 @@
                     self.kernel.spawn(self._resolve(dependency))
         yield Sleep(RESOLVE_INTERVAL_US)
 
-    def _resolve(self, job_id: str) -> Fiber[None]:
+    def _resolve(self, job_id: str) -> Coroutine[None]:
         if job_id not in self._reads:
             if (yield from self._read_final(job_id, Urgency.PLACE)) not in CONCLUSIVE:
                 self._resolved_changes = -1
             self._on_dependency_read()
 
-    def _read_final(self, job_id: str, urgency: Urgency) -> Fiber[int]:
+    def _read_final(self, job_id: str, urgency: Urgency) -> Coroutine[int]:
         """Read a job's final state, or its absence, into the cluster state; returns the state service's status."""
         cluster_state = self.base.cluster_state
         signal = self._reads[job_id] = Signal()
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -12,7 +12,7 @@
 from ashtray.jobs.answers import Accepted, AnswerSender, NeverAccepted, Refused, RetryLater, UserAnswer
 from ashtray.jobs.model import LIVE, SHORT_RUNS_BYTES, SPARE_BYTES, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
-from ashtray.kernel import Fiber
+from ashtray.kernel import Coroutine
 from ashtray.peers.presence import Presence
 from ashtray.store.client import VALUE_SHARE
 from ashtray.teams.limits import can_ever_run
@@ -42,7 +42,7 @@
         self.accepting = AcceptanceBatcher(base.kernel, base.store, base.limits, base.cluster_state.knows)
         self._on_accepted = on_accepted
 
-    def submit(self, request_id: int, job_id: str, spec: JobSpec) -> Fiber[None]:
+    def submit(self, request_id: int, job_id: str, spec: JobSpec) -> Coroutine[None]:
         """Accept a job and answer, or answer why not; for a job that was accepted before, answer its state."""
         # The job is checked before the lookup, by what is known when the request comes in.  Otherwise the machine
         # types could come in during the lookup, and a job that could not be checked before it would be refused.
@@ -59,12 +59,12 @@
         if isinstance(answer, Accepted):
             self._on_accepted()
 
-    def _state_or(self, job_id: str, otherwise: Objection) -> Fiber[UserAnswer]:
+    def _state_or(self, job_id: str, otherwise: Objection) -> Coroutine[UserAnswer]:
         """Return the state of a job that was accepted before, whatever the objection to it is now (point 6)."""
         answer = yield from self.states.look_up(job_id)
         return otherwise if isinstance(answer, NeverAccepted) else answer
 
-    def _accept(self, job_id: str, spec: JobSpec, value: Any) -> Fiber[UserAnswer]:
+    def _accept(self, job_id: str, spec: JobSpec, value: Any) -> Coroutine[UserAnswer]:
         base = self.base
         if base.cluster_state.knows(job_id):
             # A repeated submission would conflict and delay the other jobs of its transaction.
@@ -115,7 +115,7 @@
             return RetryLater("not all machine types are known yet")
         return None if reason is None else Refused(422, reason)
 
-    def _check_dependencies(self, spec: JobSpec) -> Fiber[Objection | None]:
+    def _check_dependencies(self, spec: JobSpec) -> Coroutine[Objection | None]:
         """Return the objection to a job that its dependencies give rise to."""
         cluster_state = self.base.cluster_state
         old_peers = self.presence.older() if spec.needs else []
--- a/ashtray/kernel.py
+++ b/ashtray/kernel.py
@@ -1,7 +1,7 @@
 """The scheduler of a controller's coroutines.  It performs no I/O and reads no clock.
 
-A coroutine (`Fiber`) is a generator.  It yields what it waits for (a `Call`, a `Sleep`, a `Signal` or a `Wait`) and
-is resumed with the result.  The kernel turns inputs (a request, a reply, the current time) into outputs (`Send`,
+A coroutine (`Coroutine`) is a generator.  It yields what it waits for (a `Call`, a `Sleep`, a `Signal` or a `Wait`)
+and is resumed with the result.  The kernel turns inputs (a request, a reply, the current time) into outputs (`Send`,
 `Answer`, `Log`), which the daemon or a test carries out.
 """
 
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-Fiber = Generator[Any, Any, T]
+Coroutine = Generator[Any, Any, T]
 """A coroutine that returns a value of type T."""
 
 SECOND_US = 1_000_000
@@ -122,22 +122,22 @@
     """How long inputs wait before they are processed.  Work that is not urgent is done less often by as much."""
     out: list[Output] = field(default_factory=list)
     _ids: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
-    _fibers: dict[int, Fiber[Any]] = field(default_factory=dict)
+    _coroutines: dict[int, Coroutine[Any]] = field(default_factory=dict)
     _calls: dict[int, int] = field(default_factory=dict)
     _timers: list[tuple[int, int, int]] = field(default_factory=list)
     _waits: dict[int, int] = field(default_factory=dict)
     _ready: list[tuple[int, Any]] = field(default_factory=list)
 
-    def spawn(self, fiber: Fiber[Any]) -> None:
+    def spawn(self, coroutine: Coroutine[Any]) -> None:
         """Start a coroutine; it first runs when the current one next waits."""
-        fiber_id = next(self._ids)
-        self._fibers[fiber_id] = fiber
-        self._ready.append((fiber_id, None))
+        coroutine_id = next(self._ids)
+        self._coroutines[coroutine_id] = coroutine
+        self._ready.append((coroutine_id, None))
 
-    def forever(self, create: Callable[[], Fiber[Any]], every_us: int) -> None:
+    def forever(self, create: Callable[[], Coroutine[Any]], every_us: int) -> None:
         """Start a coroutine that runs `create()` repeatedly, with a pause of `every_us` after each run."""
 
-        def loop() -> Fiber[None]:
+        def loop() -> Coroutine[None]:
             while True:
                 try:
                     yield from create()
@@ -153,10 +153,10 @@
     def fire(self, signal: Signal, value: Any = True) -> None:
         """Resume all coroutines that wait for a signal, each with `value`, when the current one next waits."""
         waiters, signal.waiters = signal.waiters, {}
-        for fiber_id, wait in waiters.items():
-            if self._waits.get(fiber_id) == wait:
-                del self._waits[fiber_id]
-                self._ready.append((fiber_id, value))
+        for coroutine_id, wait in waiters.items():
+            if self._waits.get(coroutine_id) == wait:
+                del self._waits[coroutine_id]
+                self._ready.append((coroutine_id, value))
 
     def log(self, level: str, line: str) -> None:
         """Emit a log line of level error, info or debug.  Debug lines are dropped unless the kernel is verbose."""
@@ -175,9 +175,9 @@
 
     def reply(self, call_id: int, reply: Reply) -> None:
         """Resume the coroutine that waits for the reply to a call, if there is one."""
-        fiber_id = self._calls.pop(call_id, None)
-        if fiber_id is not None:
-            self._ready.append((fiber_id, reply))
+        coroutine_id = self._calls.pop(call_id, None)
+        if coroutine_id is not None:
+            self._ready.append((coroutine_id, reply))
 
     def advance(self, now_us: int, wall_us: int) -> None:
         """Set the current times and make the coroutines ready whose timers are due."""
@@ -189,10 +189,10 @@
             self.awake_us = self.now_us
         self.wall_us = wall_us
         while self._timers and self._timers[0][0] <= self.now_us:
-            _, timer_id, fiber_id = heapq.heappop(self._timers)
-            if self._waits.get(fiber_id) == timer_id:
-                del self._waits[fiber_id]
-                self._ready.append((fiber_id, None))
+            _, timer_id, coroutine_id = heapq.heappop(self._timers)
+            if self._waits.get(coroutine_id) == timer_id:
+                del self._waits[coroutine_id]
+                self._ready.append((coroutine_id, None))
 
     def next_wake_us(self) -> int | None:
         """Return the monotonic time at which the next timer is due; None if no timer is set."""
@@ -204,40 +204,40 @@
         """Run all ready coroutines until each waits again, and return the outputs."""
         while self._ready:
             batch, self._ready = self._ready, []
-            for fiber_id, value in batch:
-                self._resume(fiber_id, value)
+            for coroutine_id, value in batch:
+                self._resume(coroutine_id, value)
         out, self.out = self.out, []
         return out
 
-    def _resume(self, fiber_id: int, value: Any) -> None:
-        fiber = self._fibers.get(fiber_id)
-        if fiber is None:
+    def _resume(self, coroutine_id: int, value: Any) -> None:
+        coroutine = self._coroutines.get(coroutine_id)
+        if coroutine is None:
             return
         try:
-            awaited = fiber.send(value)
+            awaited = coroutine.send(value)
         except StopIteration:
-            del self._fibers[fiber_id]
+            del self._coroutines[coroutine_id]
             return
         except Exception:
-            del self._fibers[fiber_id]
+            del self._coroutines[coroutine_id]
             self.unforeseen()
             return
         if isinstance(awaited, Call):
             call_id = next(self._ids)
-            self._calls[call_id] = fiber_id
+            self._calls[call_id] = coroutine_id
             self.out.append(Send(call_id, awaited))
         elif isinstance(awaited, Sleep):
-            self._start_timer(fiber_id, awaited.us)
+            self._start_timer(coroutine_id, awaited.us)
         elif isinstance(awaited, Wait):
-            self._start_timer(fiber_id, awaited.us)
-            awaited.signal.waiters[fiber_id] = self._waits[fiber_id]
+            self._start_timer(coroutine_id, awaited.us)
+            awaited.signal.waiters[coroutine_id] = self._waits[coroutine_id]
         elif isinstance(awaited, Signal):
-            self._waits[fiber_id] = next(self._ids)
-            awaited.waiters[fiber_id] = self._waits[fiber_id]
+            self._waits[coroutine_id] = next(self._ids)
+            awaited.waiters[coroutine_id] = self._waits[coroutine_id]
         else:
             raise TypeError(f"a coroutine yielded {awaited!r}, which cannot be waited for")
 
-    def _start_timer(self, fiber_id: int, us: int) -> None:
+    def _start_timer(self, coroutine_id: int, us: int) -> None:
         timer_id = next(self._ids)
-        self._waits[fiber_id] = timer_id
-        heapq.heappush(self._timers, (self.now_us + max(us, 0), timer_id, fiber_id))
+        self._waits[coroutine_id] = timer_id
+        heapq.heappush(self._timers, (self.now_us + max(us, 0), timer_id, coroutine_id))
--- a/ashtray/peers/announcements.py
+++ b/ashtray/peers/announcements.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ashtray.kernel import Call, Fiber, Kernel, Reply, Signal, Sleep, Wait
+from ashtray.kernel import Call, Coroutine, Kernel, Reply, Signal, Sleep, Wait
 
 PATH = "/peer/cancelled"
 BATCHING_WINDOW_US = 3_000
@@ -58,8 +58,8 @@
         self,
         kernel: Kernel,
         addresses: Iterable[str],
-        settle: Callable[[list[str]], Fiber[list[str]]] | None = None,
-        void_elsewhere: Callable[[str, set[str]], Fiber[None]] | None = None,
+        settle: Callable[[list[str]], Coroutine[list[str]]] | None = None,
+        void_elsewhere: Callable[[str, set[str]], Coroutine[None]] | None = None,
     ) -> None:
         """Create an announcer for the peers at these addresses.
 
@@ -73,7 +73,7 @@
         self._void_elsewhere = void_elsewhere
         self._open: _Batch | None = None
 
-    def announce(self, job_id: str) -> Fiber[None]:
+    def announce(self, job_id: str) -> Coroutine[None]:
         """Announce a committed cancellation; return when all peers have answered or `ANSWER_TIMEOUT_US` is over.
 
         By then no start order for the job is in transit from this controller or from a peer that has answered.
@@ -87,7 +87,7 @@
         if self._void_elsewhere is not None:
             yield from self._void_elsewhere(job_id, batch.settled)
 
-    def _send(self, batch: _Batch) -> Fiber[None]:
+    def _send(self, batch: _Batch) -> Coroutine[None]:
         yield Sleep(BATCHING_WINDOW_US)
         self._open = None
         batch.unanswered = len(self._addresses) + 1
@@ -97,7 +97,7 @@
             batch.settled.update((yield from self._settle(batch.job_ids)))
         self._count_answer(batch)
 
-    def _tell(self, address: str, batch: _Batch) -> Fiber[None]:
+    def _tell(self, address: str, batch: _Batch) -> Coroutine[None]:
         reply: Reply = yield Call(address, "POST", PATH, {"cancelled": batch.job_ids}, ANSWER_TIMEOUT_US)
         if reply.status == 200:
             batch.settled.update(settled_machines(reply.body))
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -14,7 +14,7 @@
 from ashtray.base import Base
 from ashtray.jobs.cancellations import CancellationStatement
 from ashtray.jobs.model import Job
-from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Signal, Sleep, Wait
+from ashtray.kernel import SECOND_US, Call, Coroutine, Reply, Signal, Sleep, Wait
 from ashtray.peers.announcements import CancellationAnnouncer
 from ashtray.placement.state_keys import CONTROLLER, FLEET
 from ashtray.standby.book import SUCCESSORS, Book
@@ -67,7 +67,7 @@
         self.leaving = False
         """This process has been told to end and owns no duty any more."""
 
-    def run(self) -> Fiber[None]:
+    def run(self) -> Coroutine[None]:
         """Keep this controller signed in: open a lease, write the key under it, renew it, and replace a lost one."""
         base = self.base
         key = CONTROLLER + base.settings.host_name
@@ -122,7 +122,7 @@
         read = follower.loaded and follower.revision >= self._signed_in_revision
         return read and self.base.settings.host_name not in self.base.cluster_state.controllers
 
-    def leave(self) -> Fiber[None]:
+    def leave(self) -> Coroutine[None]:
         """Close the lease, which removes the keys attached to it, so that peers need not wait for its expiry."""
         self.leaving = True
         self._able_source = None
@@ -293,8 +293,8 @@
         reports: Callable[[], dict[str, int]],
         moved: Callable[[], None] = lambda: None,
         stated: Callable[[str, int, list[str]], None] = lambda host, asked_us, cancelled: None,
-        settle: Callable[[list[str]], Fiber[list[str]]] | None = None,
-        void_elsewhere: Callable[[str, set[str]], Fiber[None]] | None = None,
+        settle: Callable[[list[str]], Coroutine[list[str]]] | None = None,
+        void_elsewhere: Callable[[str, set[str]], Coroutine[None]] | None = None,
     ) -> None:
         """Create the exchange with the peers of the settings.
 
@@ -323,7 +323,7 @@
         self._write_demand = base.settings.cluster.state.write_rps / max(base.settings.cluster.nodes, 1)
         """The writes per second that this controller wants; at first an equal share, since a start needs many."""
 
-    def run(self, peer: PeerState) -> Fiber[None]:
+    def run(self, peer: PeerState) -> Coroutine[None]:
         """Send heartbeats to a peer indefinitely, and take in its answers."""
         kernel = self.base.kernel
         while True:
@@ -389,7 +389,7 @@
             "heard": {name: age_us for name, age_us in ages.items() if age_us < MAX_REPORT_AGE_US},
         }
 
-    def budget(self) -> Fiber[None]:
+    def budget(self) -> Coroutine[None]:
         """Divide the state service's budgets among the live controllers: requests equally, writes by demand.
 
         Is called once a second.
@@ -416,7 +416,7 @@
         return
         yield
 
-    def _send(self, peer: PeerState, body: Any) -> Fiber[Reply]:
+    def _send(self, peer: PeerState, body: Any) -> Coroutine[Reply]:
         reply: Reply = yield Call(peer.address, "POST", "/peer/word", body, SECOND_US)
         return reply
 
--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -23,8 +23,8 @@
 import math
 from collections import Counter
 
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import Job
-from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 
@@ -43,9 +43,9 @@
 class MinimumShare:
     """Counts the jobs that arrived and were served, by team and class, since the cluster state was first read."""
 
-    def __init__(self, cluster_state: ClusterState, pace: Pace) -> None:
+    def __init__(self, cluster_state: ClusterState, job_timing: JobTiming) -> None:
         self._cluster_state = cluster_state
-        self._pace = pace
+        self._job_timing = job_timing
         self._loads = -1
         self._since_us = 0
         self._counted_us = -COUNT_PAUSE_US
@@ -94,7 +94,7 @@
                 continue
             # A job whose tasks lost their machines or were stopped waits again.
             self._served.pop(job.id, None)
-            if wall_us - job.ready_us > GRACE_RUNS * self._pace.run_us(job):
+            if wall_us - job.ready_us > GRACE_RUNS * self._job_timing.run_us(job):
                 overdue[name] += 1
         while len(self._served) > MAX_SERVED:
             del self._served[next(iter(self._served))]
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -11,9 +11,9 @@
 from functools import partial
 
 from ashtray.base import Base
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import LIVE, Job
-from ashtray.jobs.pace import Pace
-from ashtray.kernel import SECOND_US, Fiber, Signal, Sleep, Wait
+from ashtray.kernel import SECOND_US, Coroutine, Signal, Sleep, Wait
 from ashtray.peers.presence import Presence
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_edit import GroupEdit
@@ -25,8 +25,8 @@
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
 from ashtray.teams.grants import URGENT, Grants, Share
-from ashtray.workers.desk import Desk
 from ashtray.workers.folding import Fold
+from ashtray.workers.worker_manager import WorkerManager
 
 RETRY_US = SECOND_US // 2
 """The longest pause between rounds without a wake-up signal."""
@@ -82,14 +82,20 @@
     """Plans and commits placements for the waiting jobs and requests the shares of team limits that they need."""
 
     def __init__(
-        self, base: Base, presence: Presence, grants: Grants, pace: Pace, planner: Planner, desk: Desk
+        self,
+        base: Base,
+        presence: Presence,
+        grants: Grants,
+        job_timing: JobTiming,
+        planner: Planner,
+        worker_manager: WorkerManager,
     ) -> None:
         self.base = base
         self.presence = presence
         self.grants = grants
-        self.pace = pace
+        self.job_timing = job_timing
         self.planner = planner
-        self.desk = desk
+        self.worker_manager = worker_manager
         self._recent_failures: deque[bool] = deque(maxlen=base.knobs.window)
         """For each of the last commits, whether it failed."""
         self.kick = Signal()
@@ -122,7 +128,7 @@
             return 0.0
         return min(sum(self._recent_failures) / len(self._recent_failures), self.base.knobs.widen_cap)
 
-    def run(self) -> Fiber[None]:
+    def run(self) -> Coroutine[None]:
         """Run placement rounds forever.
 
         Each starts after a change of the cluster state, after `RETRY_US`, or at once if requested.
@@ -148,7 +154,7 @@
         if self.base.cluster_state.changes != self._seen_changes:
             self.base.kernel.fire(self.kick)
 
-    def _round(self) -> Fiber[int]:
+    def _round(self) -> Coroutine[int]:
         """Process the queue once and return the cost, in checked machines; a job counts as `JOB_COST` of them."""
         base = self.base
         cluster_state = base.cluster_state
@@ -157,8 +163,8 @@
         yield from self._fence()
         self.counts["rounds"] += 1
         plan = self.planner.plan()
-        plan.add_freed(self.desk.light().freed)
-        plan.due_groups = self.desk.due()
+        plan.add_freed(self.worker_manager.light().freed)
+        plan.due_groups = self.worker_manager.due()
         plan.writes_scarce = base.store.changes.scarce()
         jobs, guaranteed = self.planner.queue()
         self._queue = list(jobs)
@@ -172,7 +178,7 @@
             self.counts["rooms looked at"] += plan.visits
         return plan.visits + JOB_COST * len(jobs)
 
-    def _fence(self) -> Fiber[None]:
+    def _fence(self) -> Coroutine[None]:
         """Fence off this controller's placements with an unknown outcome, for the teams with a limit whose jobs wait.
 
         When all controllers start together, one fence serves all of them: a controller that sees it in time writes
@@ -191,7 +197,7 @@
             # After that, the cluster state shows all that this process or its predecessor placed before the fence.
             yield from base.follower.barrier()
 
-    def _serve(self, plan: Plan, jobs: list[Job], guaranteed: set[str]) -> Fiber[None]:
+    def _serve(self, plan: Plan, jobs: list[Job], guaranteed: set[str]) -> Coroutine[None]:
         base = self.base
         round_began_us = base.kernel.now_us
         batch = Batch(base.cluster_state, base.limits)
@@ -225,7 +231,7 @@
                 continue
             choices: list[Choice] = []
             # For a class with an objective on waiting time, first try the machines that have its image in time.
-            objective_s = self.pace.urgent.get(job.spec.job_class)
+            objective_s = self.job_timing.wait_objectives_s.get(job.spec.job_class)
             for within_s in (None,) if objective_s is None else (0.8 * objective_s, None):
                 # Capacity that only this controller knows to be free is for its own jobs and for urgent ones.  Other
                 # jobs of other controllers could not be placed there, and it would stay unused until a fold shows it.
@@ -243,7 +249,7 @@
                     if not mine and urgent:
                         urgent_since_us.setdefault(job.id, self._urgent_since_us.get(job.id, round_began_us))
                         if any(id(room) in freed for room, _ in choices):
-                            self.desk.hurry()
+                            self.worker_manager.hurry()
                     break
                 if not job.suspect and ((job.spec.kind == "gang" and urgent) or job.id in guaranteed):
                     if plan.reserve_stopping_capacity(job, need, within_s):
@@ -360,7 +366,7 @@
             allowed -= kept
         return cut
 
-    def _reshare(self) -> Fiber[None]:
+    def _reshare(self) -> Coroutine[None]:
         """Try to raise this controller's share of the limit for each team whose jobs it does not allow."""
         base = self.base
         short, self._short_jobs = self._short_jobs, {}
@@ -450,7 +456,7 @@
             plan.min_without_victims[(alike, None if within_s is None else spec.image)] = count
         return victims
 
-    def _stop(self, job: Job, victims: Victims, guaranteed: set[str]) -> Fiber[None]:
+    def _stop(self, job: Job, victims: Victims, guaranteed: set[str]) -> Coroutine[None]:
         base = self.base
         build = partial(
             stop_for,
@@ -467,7 +473,7 @@
             number = sum(len(tasks) for held in victims.values() for tasks in held.values())
             base.kernel.log("info", f"{job.id} stops {number} tasks on {', '.join(sorted(victims))}")
 
-    def _commit(self, batch: Batch) -> Fiber[bool]:
+    def _commit(self, batch: Batch) -> Coroutine[bool]:
         base = self.base
         for retry in range(base.knobs.retries):
             lines: list[str] = []
@@ -486,7 +492,7 @@
             if committed:
                 for line in lines:
                     base.kernel.log("info", line)
-                self.desk.folded(self._last_folded)
+                self.worker_manager.folded(self._last_folded)
                 return len(lines) == len(batch.items)
             yield Sleep(int(base.kernel.rng.uniform(0.0, 0.02) * min(2**retry, 16) * SECOND_US))
             if not (yield from base.follower.barrier()):
@@ -515,7 +521,7 @@
         cluster_state = base.cluster_state
         txn = Txn()
         lines.clear()
-        fold = self.desk.light(batch.groups - full)
+        fold = self.worker_manager.light(batch.groups - full)
         draft = Draft(cluster_state, self.grants, fold, base.limits)
         for item in batch.items:
             job = cluster_state.jobs.get(item.job_id)
--- a/ashtray/placement/queue_order.py
+++ b/ashtray/placement/queue_order.py
@@ -29,8 +29,8 @@
 from dataclasses import dataclass
 
 from ashtray.config.settings import Objective
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import Job
-from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.records import MachineType
@@ -81,8 +81,8 @@
     time, it misses the next one, too (see `docs/distance.md`).
     """
 
-    def __init__(self, objectives: Iterable[Objective], pace: Pace) -> None:
-        self._pace = pace
+    def __init__(self, objectives: Iterable[Objective], job_timing: JobTiming) -> None:
+        self._job_timing = job_timing
         self._waits: dict[str, set[int]] = {}
         self._done: dict[str, set[int]] = {}
         self.starts_first: set[str] = set()
@@ -104,15 +104,15 @@
         # put back for a time of its own class, it would delay the end of its pipeline.
         in_time = job.latest_us is not None and wall_us <= job.latest_us
         if in_time or (not waits and not done):
-            by_work = not self._pace.timed(job)
+            by_work = not self._job_timing.has_time_objective(job)
             age_us = wall_us - job.ready_us
-            aged = by_work and age_us > UNTIMED_AGED_FACTOR * self._pace.run_us(job)
+            aged = by_work and age_us > UNTIMED_AGED_FACTOR * self._job_timing.run_us(job)
             starts_first = by_work and not aged and age_us > START_FIRST_SHARE * START_WITHIN_US
             starts_first = starts_first and not cluster_state.placed(job.id) and not cluster_state.finished(job)
             return Standing(0, len(waits) + len(done), aged, by_work and not aged and not starts_first, starts_first)
         age_us = wall_us - job.ready_us
         launch_us = LAUNCH_US + fetch_us(job, cluster_state.types.values())
-        run_us = self._pace.run_us(job) if done else 0
+        run_us = self._job_timing.run_us(job) if done else 0
         # A time that the job could never meet is not missed.  Otherwise a gang that runs longer than the time stated
         # for its class goes behind all jobs that come later.
         missed = sum(within < age_us + launch_us for within in waits)
@@ -147,7 +147,7 @@
             if standing.stated and standing.missed == standing.stated and not standing.aged:
                 too_late.add(job.id)
             within = self._guaranteed and job.id in guaranteed
-            stated = standing.stated > 0, self._pace.timed(job)
+            stated = standing.stated > 0, self._job_timing.has_time_objective(job)
             level = (job.priority, job.suspect, job.spec.team, within, *stated)
             levels.append(level)
             by_level.setdefault(level, []).append((rank, job))
@@ -171,7 +171,7 @@
             ),
             default=1.0,
         )
-        return len(cluster_state.waiting().get(job.id, ())) * dominant_share * self._pace.run_us(job)
+        return len(cluster_state.waiting().get(job.id, ())) * dominant_share * self._job_timing.run_us(job)
 
 
 def largest_of(machine_types: Iterable[MachineType]) -> Amounts:
--- a/ashtray/store/client.py
+++ b/ashtray/store/client.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ashtray.config.settings import StateLimits
-from ashtray.kernel import SECOND_US, Call, Fiber, Kernel, Reply, Signal, Sleep, Wait
+from ashtray.kernel import SECOND_US, Call, Coroutine, Kernel, Reply, Signal, Sleep, Wait
 
 CALL_TIMEOUT_US = 1_200_000
 REQUEST_OVERDRAFT = 0.2
@@ -122,7 +122,7 @@
         self._overdraft(Urgency.KEEP_ALIVE)
         self._overdraft_factor /= 4
 
-    def admit(self, urgency: Urgency, amount: float) -> Fiber[None]:
+    def admit(self, urgency: Urgency, amount: float) -> Coroutine[None]:
         """Take `amount` tokens, and return once the request may be sent."""
         self.bucket.refill(self.kernel.now_us)
         first = not self.waiting or self.waiting[0][0] > urgency
@@ -144,7 +144,7 @@
         """Whether requests wait for the budget now, or have waited within `SCARCE_US`."""
         return bool(self.waiting) or self.kernel.now_us - self._last_wait_us < SCARCE_US
 
-    def _serve_waiting(self) -> Fiber[None]:
+    def _serve_waiting(self) -> Coroutine[None]:
         while self.waiting:
             self.bucket.refill(self.kernel.now_us)
             urgency, _, amount, signal = self.waiting[0]
@@ -230,7 +230,7 @@
 
     def request(
         self, urgency: Urgency, method: str, path: str, body: Any = None, tries: int = 3, purpose: str = "read"
-    ) -> Fiber[Reply]:
+    ) -> Coroutine[Reply]:
         """Send a request and return the reply; retry after a 429, which means that nothing was executed."""
         reply = Reply(0)
         asked_us = self.kernel.now_us
@@ -250,18 +250,18 @@
             if ms > 300 or reply.status not in (200, 404):
                 self.kernel.log("debug", f"state: {method} {path}: {reply.status} after {ms} ms")
 
-    def read(self, key: str, urgency: Urgency = Urgency.ACCEPT) -> Fiber[Reply]:
+    def read(self, key: str, urgency: Urgency = Urgency.ACCEPT) -> Coroutine[Reply]:
         """Read one key; the reply is 200 with its value and version, or 404."""
         return (yield from self.request(urgency, "GET", f"/store/{key}"))
 
-    def page(self, prefix: str, after: str | None) -> Fiber[Reply]:
+    def page(self, prefix: str, after: str | None) -> Coroutine[Reply]:
         """Read one page of the records under a prefix: those after the key `after`, or the first ones."""
         path = f"/store?under={quote(prefix, safe='')}&page=1000"
         if after is not None:
             path += f"&after={quote(after, safe='')}"
         return (yield from self.request(Urgency.KEEP_ALIVE, "GET", path, purpose="load"))
 
-    def follow(self, prefix: str, revision: int) -> Fiber[Reply]:
+    def follow(self, prefix: str, revision: int) -> Coroutine[Reply]:
         """Read the changes under a prefix after a revision, without waiting for new ones."""
         path = f"/follow?under={quote(prefix, safe='')}&after={revision}&wait_ms=0"
         return (yield from self.request(Urgency.KEEP_ALIVE, "GET", path, tries=1, purpose="follow"))
@@ -272,8 +272,8 @@
         changes: int,
         urgency: Urgency,
         purpose: str,
-        refresh: Callable[[], Fiber[None]] | None = None,
-    ) -> Fiber[tuple[Txn | None, Reply]]:
+        refresh: Callable[[], Coroutine[None]] | None = None,
+    ) -> Coroutine[tuple[Txn | None, Reply]]:
         """Commit the transaction that `build` returns; return the transaction and its reply.
 
         `build` is called only when the budget for about `changes` writes is there, and after `refresh` has read the
@@ -322,17 +322,17 @@
             or max(sizes, default=0) > next_limits.value_kb * 1024
         )
 
-    def open_lease(self, life_us: int) -> Fiber[Reply]:
+    def open_lease(self, life_us: int) -> Coroutine[Reply]:
         """Open a lease that expires after `life_us` unless it is renewed."""
         body = {"life_ms": life_us // 1000}
         return (yield from self.request(Urgency.KEEP_ALIVE, "POST", "/leases", body, purpose="lease"))
 
-    def renew_lease(self, lease: int) -> Fiber[Reply]:
+    def renew_lease(self, lease: int) -> Coroutine[Reply]:
         """Renew a lease; the reply is 404 if it has ended."""
         path = f"/leases/{lease}/renew"
         return (yield from self.request(Urgency.KEEP_ALIVE, "POST", path, {}, purpose="lease"))
 
-    def close_lease(self, lease: int) -> Fiber[Reply]:
+    def close_lease(self, lease: int) -> Coroutine[Reply]:
         """End a lease at once and remove the keys attached to it."""
         return (yield from self.request(Urgency.KEEP_ALIVE, "DELETE", f"/leases/{lease}", purpose="lease"))
 
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from ashtray.kernel import SECOND_US, Fiber, Kernel, Reply, Signal, Sleep, Wait
+from ashtray.kernel import SECOND_US, Coroutine, Kernel, Reply, Signal, Sleep, Wait
 from ashtray.store.client import StoreClient, Txn, Urgency
 
 FOLLOW_SHARE = 0.15
@@ -78,7 +78,7 @@
         self._urgent = False
         """A caller waits for the next round and needs it at once."""
 
-    def run(self) -> Fiber[None]:
+    def run(self) -> Coroutine[None]:
         """Run rounds indefinitely; each round wakes the callers that began to wait before it."""
         while True:
             waiters, self._waiters = self._waiters, []
@@ -107,7 +107,7 @@
             else:
                 yield Sleep(int(self.kernel.rng.uniform(0.2, 0.4) * SECOND_US))
 
-    def _round(self) -> Fiber[bool]:
+    def _round(self) -> Coroutine[bool]:
         if not self._paged and not (yield from self._load()):
             return False
         reply: Reply = yield from self.store.follow(self.prefix, self.revision)
@@ -129,7 +129,7 @@
         self.loaded = True
         return True
 
-    def _load(self) -> Fiber[bool]:
+    def _load(self) -> Coroutine[bool]:
         self.mirror.clear()
         self.mirror.read(0)
         revision: int | None = None
@@ -150,14 +150,14 @@
         self._paged = True
         return True
 
-    def barrier(self, patient: bool = False) -> Fiber[bool]:
+    def barrier(self, patient: bool = False) -> Coroutine[bool]:
         """Wait for a round that begins after this call; return False if it fails or takes longer than 3 s.
 
         A `patient` caller does not cause an early round, but shares the next regular one; users' queries do so.
         """
         return (yield from self._next_round(3 * SECOND_US, patient))
 
-    def refresh(self) -> Fiber[None]:
+    def refresh(self) -> Coroutine[None]:
         """Bring the cluster state up to date before a commit.
 
         A conflict costs all writes of the commit, a refresh only one request.  So the cluster state is refreshed just
@@ -172,7 +172,7 @@
         self._urgent = True
         self.kernel.fire(self._wake_signal)
 
-    def _next_round(self, timeout_us: int, patient: bool) -> Fiber[bool]:
+    def _next_round(self, timeout_us: int, patient: bool) -> Coroutine[bool]:
         signal = Signal()
         self._waiters.append(signal)
         if not patient:
@@ -182,7 +182,7 @@
 
     def commit(
         self, build: Callable[[], Txn | None], changes: int, urgency: Urgency, purpose: str
-    ) -> Fiber[bool | None]:
+    ) -> Coroutine[bool | None]:
         """Commit the transaction that `build` makes from the latest cluster state.
 
         Returns True on success; the cluster state then shows the writes already.  Returns False after a conflict, a
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ashtray.base import Base
-from ashtray.kernel import SECOND_US, Call, Fiber, Reply, Signal, Wait
+from ashtray.kernel import SECOND_US, Call, Coroutine, Reply, Signal, Wait
 from ashtray.placement.machine_groups import Machine
 from ashtray.workers import messages
 from ashtray.workers.messages import Report, TaskKey
@@ -54,7 +54,7 @@
         self.worker_updated = Signal()
         """Fired when the state of a worker has changed."""
 
-    def deliver(self, worker: Worker, orders: list[dict[str, Any]]) -> Fiber[None]:
+    def deliver(self, worker: Worker, orders: list[dict[str, Any]]) -> Coroutine[None]:
         """Send orders to a worker and process its answer; if there is none, make the orders void."""
         report = worker.report
         assert report is not None
@@ -92,7 +92,7 @@
         worker.token = self._next_token(worker.token)
         worker.token_confirmed = False
 
-    def _announce_token(self, worker: Worker) -> Fiber[None]:
+    def _announce_token(self, worker: Worker) -> Coroutine[None]:
         """Announce its current token to a worker, once for each token.
 
         Otherwise a worker that receives nothing would be sent message after message.
@@ -124,7 +124,7 @@
     def _kills_of_ended_jobs(self, keys: Iterable[TaskKey]) -> list[dict[str, Any]]:
         return [messages.kill(key, 0) for key in keys if self.base.cluster_state.is_over(key[0])]
 
-    def settle(self, cancelled: Iterable[str]) -> Fiber[list[str]]:
+    def settle(self, cancelled: Iterable[str]) -> Coroutine[list[str]]:
         """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_TIMEOUT_US` at most.
 
         Kills are on their way by then.  Orders without an answer within `SETTLE_GRACE_US` are made void by a higher
@@ -143,7 +143,7 @@
         yield from self._wait_until_none_may_start(owned, job_ids, until_us)
         return [worker.name for worker in owned]
 
-    def void_elsewhere(self, job_id: str, settled: set[str]) -> Fiber[None]:
+    def void_elsewhere(self, job_id: str, settled: set[str]) -> Coroutine[None]:
         """Make void any orders under way to a cancelled job's machines that no controller answers for.
 
         The owner of such a machine has ended, is stalled, or has not received a report from it yet.  `settled` are
@@ -160,7 +160,7 @@
         """Return the machines with allocations of a job."""
         return {name for name, _ in self.base.cluster_state.allocations.get(job_id, ())}
 
-    def _void_on_machine(self, name: str, job_id: str, pending: set[str]) -> Fiber[None]:
+    def _void_on_machine(self, name: str, job_id: str, pending: set[str]) -> Coroutine[None]:
         """Make orders to one machine void if its worker is not claimed here; removes it from `pending` when done."""
         worker, machine = self.workers.get(name), self.base.cluster_state.machines.get(name)
         if machine is not None and (worker is None or not worker.token):
@@ -168,7 +168,7 @@
         pending.discard(name)
         self.kernel.fire(self.worker_updated)
 
-    def _void_unowned(self, machine: Machine, job_id: str) -> Fiber[None]:
+    def _void_unowned(self, machine: Machine, job_id: str) -> Coroutine[None]:
         """Announce a higher token to a machine that does not report here, unless all its tasks of a job have started.
 
         The controller that it reports to then claims it with a still higher token.
@@ -186,7 +186,7 @@
 
     def _wait_until_none_may_start(
         self, workers: list[Worker], job_ids: frozenset[str], until_us: int
-    ) -> Fiber[None]:
+    ) -> Coroutine[None]:
         """Wait until none of these workers can start a task of these jobs, until `until_us` at most."""
         while True:
             workers = [worker for worker in workers if not worker.token_confirmed or worker.may_start(job_ids)]
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ashtray.base import Base
-from ashtray.kernel import SECOND_US, Fiber, Sleep
+from ashtray.kernel import SECOND_US, Coroutine, Sleep
 from ashtray.peers.presence import Presence
 from ashtray.placement import compact_record
 from ashtray.placement.cluster_state import ClusterState
@@ -134,7 +134,7 @@
         self.kernel = base.kernel
         self.presence = presence
 
-    def run(self) -> Fiber[None]:
+    def run(self) -> Coroutine[None]:
         """Split all groups that need it once, then wait for `CHECK_INTERVAL_US`."""
         base = self.base
         if not base.limits.lean or not base.follower.loaded or not self.presence.incarnation:
--- a/ashtray/workers/desk.py
+++ b/ashtray/workers/worker_manager.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from ashtray.base import Base
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import Job
-from ashtray.jobs.pace import Pace
-from ashtray.kernel import SECOND_US, Fiber, Signal, Sleep, Wait
+from ashtray.kernel import SECOND_US, Coroutine, Signal, Sleep, Wait
 from ashtray.peers.presence import Peers, Presence
 from ashtray.placement.machine_groups import Group, Machine
 from ashtray.store.client import Txn, Urgency
@@ -52,16 +52,18 @@
 """How many orders go into one message."""
 
 
-class Desk:
+class WorkerManager:
     """Takes workers' reports, owns workers, sends them orders, and folds what they report into group records."""
 
-    def __init__(self, base: Base, presence: Presence, peers: Peers, pace: Pace, renewal: RenewalGuard) -> None:
+    def __init__(
+        self, base: Base, presence: Presence, peers: Peers, job_timing: JobTiming, renewal: RenewalGuard
+    ) -> None:
         self.base = base
         self.renewal = renewal
         self.kernel = base.kernel
         self.presence = presence
         self.peers = peers
-        self.pace = pace
+        self.job_timing = job_timing
         self.workers: dict[str, Worker] = {}
         self.delivery = OrderDelivery(base, self.workers, self._next_token, self._on_order_answer)
         self._counter = 0
@@ -235,14 +237,16 @@
         # Only a last report with this process's token is certain to be recent.  After any other, a task that runs now
         # may have begun at any time.
         old = worker.report.tasks if worker.report is not None and worker.token_confirmed else None
-        started = self.pace.watch.report(worker.name, worker.running_since_us, old, report.tasks, self.kernel.now_us)
+        started = self.job_timing.watch.report(
+            worker.name, worker.running_since_us, old, report.tasks, self.kernel.now_us
+        )
         machine = self.base.cluster_state.machines.get(worker.name)
         holds = machine.holds if machine is not None else []
         for job_id, attempt, _ in started:
             job = self.base.cluster_state.jobs.get(job_id)
             allocation = next((h for h in holds if (h.job, h.attempt) == (job_id, attempt)), None)
             if job is not None and allocation is not None:
-                self.pace.watch.started(job, self.kernel.wall_us - allocation.record.placed_us)
+                self.job_timing.watch.started(job, self.kernel.wall_us - allocation.record.placed_us)
 
     def _next_token(self, above: int) -> int:
         """Return a new ownership token that is higher than `above`."""
@@ -303,7 +307,7 @@
         """Return whether the worker's newest report and its machine's record both carry this controller's token."""
         return worker.token_confirmed and machine.record.token == worker.token
 
-    def _reconcile_worker(self, worker: Worker) -> Fiber[None]:
+    def _reconcile_worker(self, worker: Worker) -> Coroutine[None]:
         """Send a worker its orders, and again if something has changed meanwhile, up to four times."""
         if worker.reconciling:
             return
@@ -376,7 +380,8 @@
         """
         cluster_state = self.base.cluster_state
         needs_all_reports = not (
-            job.id in cluster_state.dependencies.dependents or (self.base.limits.low and self.pace.timed(job))
+            job.id in cluster_state.dependencies.dependents
+            or (self.base.limits.low and self.job_timing.has_time_objective(job))
         )
         max_tasks = MAX_TASKS_TO_CHECK if needs_all_reports else MAX_TIMED_TASKS_TO_CHECK
         if job.id in cluster_state.waiting() or len(cluster_state.placed(job.id)) > max_tasks:
@@ -442,7 +447,7 @@
         if not worker.reconciling:
             self.reconcile(worker)
 
-    def adopt(self) -> Fiber[None]:
+    def adopt(self) -> Coroutine[None]:
         """Wait for machines that are in no group, and add those of one type and zone to groups."""
         if not self._unknown_machines:
             yield self._adopt_signal
@@ -559,7 +564,7 @@
         divisor, max_us = scarce if changes.scarce() else (2, MAX_FOLD_INTERVAL_US)
         return min(int(divisor * self._last_fold_writes / max(changes.bucket.rate, 0.1) * SECOND_US), max_us)
 
-    def fold(self) -> Fiber[None]:
+    def fold(self) -> Coroutine[None]:
         """Wait until there is something to fold, and fold it."""
         completed = self._completed_jobs(deferrable=False)
         if not self._dirty and not completed:
@@ -597,7 +602,7 @@
         jobs = (cluster_state.jobs[job_id] for job_id in sorted(cluster_state.completed()))
         return [job for job in jobs if ends_later(job, self.base.limits) == deferrable and self.presence.mine(job)]
 
-    def tidy(self) -> Fiber[None]:
+    def tidy(self) -> Coroutine[None]:
         """Move the records of jobs that already count as done, if there is little else to write or they are late."""
         jobs, now = self._completed_jobs(deferrable=True), self.kernel.now_us
         for job in jobs:
@@ -622,7 +627,7 @@
         for first in range(0, len(jobs), batch_size):
             yield from self._move(jobs[first : first + batch_size], urgency)
 
-    def _move(self, jobs: list[Job], urgency: Urgency) -> Fiber[None]:
+    def _move(self, jobs: list[Job], urgency: Urgency) -> Coroutine[None]:
         """Move the records of jobs that count as done, with two writes for each."""
 
         def build() -> Txn | None:
@@ -638,7 +643,7 @@
         """Return when each worker that reports here was last heard."""
         return {worker.name: worker.heard_us for worker in self.workers.values() if worker.heard_us}
 
-    def sweep(self) -> Fiber[None]:
+    def sweep(self) -> Coroutine[None]:
         """Forget workers that have neither reported nor been redirected for 120 s."""
         limit = 120 * SECOND_US
         since_us = self.kernel.now_us - limit
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -20,7 +20,7 @@
 from ashtray.controller import Controller
 from ashtray.jobs.messages import parse_submission
 from ashtray.jobs.model import LIVE, JobRecord
-from ashtray.kernel import SECOND_US, Answer, Call, Fiber, Output, Reply, Send
+from ashtray.kernel import SECOND_US, Answer, Call, Coroutine, Output, Reply, Send
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP, TYPES
 from ashtray.store.client import Txn, Urgency
@@ -103,7 +103,7 @@
     refused: int = 0
 
 
-def no_announcement(job_id: str) -> Fiber[None]:
+def no_announcement(job_id: str) -> Coroutine[None]:
     """Replaces the announcement of a cancellation to peers: takes no time and sends nothing."""
     return
     yield
--- a/tests/meeting_model.py
+++ b/tests/meeting_model.py
@@ -148,11 +148,11 @@
         None if no running, unpaused controller may.
         """
         for host in self.live():
-            worker = host.core.desk.workers.get(name)
+            worker = host.core.worker_manager.workers.get(name)
             machine = host.core.cluster_state.machines.get(name)
             if worker is None or machine is None or worker.token != self.workers[name].token:
                 continue
-            if host.core.desk._owns(worker, machine) and host.halted_until <= self.now:
+            if host.core.worker_manager._owns(worker, machine) and host.halted_until <= self.now:
                 return host.number
         return None
 
--- a/tests/model.py
+++ b/tests/model.py
@@ -170,10 +170,10 @@
         core = host.core
         core.kernel.strict = True
         # Where a worker is redirected to and which controller places a job are hints: no rule may depend on them.
-        foreman = core.desk._foreman
+        foreman = core.worker_manager._foreman
         placing = core.placer if host.old else core.presence
         mine = placing.mine
-        core.desk._foreman = lambda *args: None if self.now < self.roaming_until else foreman(*args)
+        core.worker_manager._foreman = lambda *args: None if self.now < self.roaming_until else foreman(*args)
         placing.mine = lambda job: self.now < self.all_place_until or mine(job)
         self.carry_out(host, host.core.start(*self.clock(host)))
         self._controller_starts(host)
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -2,7 +2,7 @@
 
 TESTS = [f"tests/test_meetings_{name}.py" for name in ("cut_leader", "kept_reports", "handovers", "team_limits")]
 REVIEW, INVENTORY = "ashtray/fleet/machine_review.py", "ashtray/fleet/machine_inventory.py"
-FLEET_LEASE, DESK = "ashtray/fleet/fleet_lease.py", "ashtray/workers/desk.py"
+FLEET_LEASE, WORKER_MANAGER = "ashtray/fleet/fleet_lease.py", "ashtray/workers/worker_manager.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "cancelled-tasks-wait-while-most-are-silent": (
@@ -31,16 +31,16 @@
         "return is_own_host or first",
     ),
     "a-zone-cut-off-is-renewed-for-ever": (
-        DESK,
+        WORKER_MANAGER,
         "if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):",
         "if False:",
     ),
     "any-report-is-proof": (
-        DESK,
+        WORKER_MANAGER,
         "worker.token_confirmed = report.token == worker.token",
         "worker.token_confirmed = True",
     ),
-    "copies-add-machines": (DESK, "if report.token == 0 or worker.token_confirmed:", "if True:"),
+    "copies-add-machines": (WORKER_MANAGER, "if report.token == 0 or worker.token_confirmed:", "if True:"),
     "leases-renewed-for-twice-as-long": (
         "ashtray/workers/renewal.py",
         "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -2,7 +2,7 @@
 
 TESTS = ["tests/test_meetings_late_commands.py", "tests/test_meetings_hung_machines.py"]
 DELIVERY, WORKER = "ashtray/workers/order_delivery.py", "ashtray/workers/worker.py"
-DESK = "ashtray/workers/desk.py"
+WORKER_MANAGER = "ashtray/workers/worker_manager.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "workers-learn-of-a-doubt-with-their-reports": (
@@ -27,7 +27,7 @@
     ),
     "cancellations-do-not-settle-at-peers": (
         "ashtray/controller.py",
-        "settled = yield from self.desk.delivery.settle(cancelled)",
+        "settled = yield from self.worker_manager.delivery.settle(cancelled)",
         "settled = list(self.cluster_state.machines); yield from ()",
     ),
     "starts-underway-are-forgotten": (
@@ -56,7 +56,7 @@
         "",
     ),
     "order-answers-clear-what-went-out-to-reports": (
-        DESK,
+        WORKER_MANAGER,
         "            worker.answered_report is not None\n            and not direct\n",
         "            worker.answered_report is not None\n",
     ),
--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -5,17 +5,17 @@
     "tests/test_meetings_lost_answers.py",
     "tests/test_meetings_quick_boots.py",
 ]
-DESK = "ashtray/workers/desk.py"
+WORKER_MANAGER = "ashtray/workers/worker_manager.py"
 REVIEW, DECOMMISSIONING = "ashtray/fleet/machine_review.py", "ashtray/fleet/decommissioning.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "freed-late-after-a-new-session": (
-        DESK,
+        WORKER_MANAGER,
         "stale_fold = self._stale_fold_possible(worker, report)",
         "stale_fold = False",
     ),
     "freed-late-after-a-restart": (
-        DESK,
+        WORKER_MANAGER,
         "report.session == last.session and report.token >= last.token",
         "report.session == last.session",
     ),
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -1,19 +1,23 @@
 """Mutants of what holds where troubles meet at machines and under load."""
 
 TESTS = ["tests/test_meetings_machines.py", "tests/test_meetings_load.py"]
-DESK = "ashtray/workers/desk.py"
+WORKER_MANAGER = "ashtray/workers/worker_manager.py"
 CLUSTER_STATE, GROUP_EDIT = "ashtray/placement/cluster_state.py", "ashtray/placement/group_edit.py"
 PREEMPTION = "ashtray/placement/preemption.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "fast-machines-launch-before-their-record": (
-        DESK,
+        WORKER_MANAGER,
         "return worker.token_confirmed and machine.record.token == worker.token",
         "return worker.token_confirmed",
     ),
-    "old-report-after-newer-ones": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
+    "old-report-after-newer-ones": (
+        WORKER_MANAGER,
+        "if (report.session, report.tick) <= worker.newest:",
+        "if False:",
+    ),
     "old-reports-count-as-heard": (
-        DESK,
+        WORKER_MANAGER,
         "        if newly_claimed or worker.token_confirmed:\n",
         "        if True:\n",
     ),
@@ -29,7 +33,7 @@
         "done = {}",
     ),
     "direct-orders-count-as-heard": (
-        DESK,
+        WORKER_MANAGER,
         "        worker.reconcile_again = True\n        if not worker.reconciling:",
         "        worker.reconcile_again, worker.heard_us = True, self.kernel.now_us\n"
         "        if not worker.reconciling:",
--- a/tests/mutants/mute_machines.py
+++ b/tests/mutants/mute_machines.py
@@ -1,13 +1,13 @@
 """Mutants of what becomes of machines that no report, or no answer, gets through to."""
 
 TESTS = ["tests/test_meetings_mute_machines.py"]
-DESK, REVIEW = "ashtray/workers/desk.py", "ashtray/fleet/machine_review.py"
+WORKER_MANAGER, REVIEW = "ashtray/workers/worker_manager.py", "ashtray/fleet/machine_review.py"
 DELIVERY = "ashtray/workers/order_delivery.py"
 FIRST_TEST = "tests/test_meetings_mute_machines.py::"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "silent-workers-are-ordered-for-ever": (
-        DESK,
+        WORKER_MANAGER,
         "if self.kernel.now_us - worker.heard_us > int(self.base.settings.cluster.workers.lease_s * SECOND_US):",
         "if False:",
     ),
@@ -17,7 +17,7 @@
         "            pass\n",
     ),
     "what-an-answer-tells-is-not-looked-at": (
-        DESK,
+        WORKER_MANAGER,
         "        worker.reconcile_again = True\n        if not worker.reconciling:\n"
         "            self.reconcile(worker)\n",
         "",
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -29,7 +29,7 @@
         "meetings_answers",
     )
 ]
-FOLDING, DESK = "ashtray/workers/folding.py", "ashtray/workers/desk.py"
+FOLDING, WORKER_MANAGER = "ashtray/workers/folding.py", "ashtray/workers/worker_manager.py"
 DELIVERY = "ashtray/workers/order_delivery.py"
 FLEET_LEASE, HANDOVER = "ashtray/fleet/fleet_lease.py", "ashtray/fleet/handover.py"
 INVENTORY, PROVISIONING = "ashtray/fleet/machine_inventory.py", "ashtray/fleet/provisioning.py"
@@ -55,24 +55,24 @@
     ),
     "place-while-deleting": (DECOMMISSIONING, ".machine(name).retiring = True", ".machine(name)"),
     "clear-before-commit": (
-        DESK,
+        WORKER_MANAGER,
         '                elif job_is_over and seen.state == "saving":',
         '                elif seen.state == "ended":\n                    kills.append(messages.clear(key))\n'
         '                elif job_is_over and seen.state == "saving":',
     ),
     "one-token-for-all": (
-        DESK,
+        WORKER_MANAGER,
         "return self._counter << TOKEN_SHIFT | self.presence.incarnation",
         "return max(above, 1)",
     ),
     "orders-without-record": (
-        DESK,
+        WORKER_MANAGER,
         "return worker.token_confirmed and machine.record.token == worker.token",
         "return worker.token_confirmed",
     ),
     "no-doubt": (DELIVERY, "if not reply.refused and worker.token == token:", "if False:"),
     "orders-in-flight-ignored": (
-        DESK,
+        WORKER_MANAGER,
         "busy = worker.in_flight or worker.answered_report is not None",
         "busy = False",
     ),
@@ -113,7 +113,7 @@
     ),
     "least-room-never-ages": (
         ORDER,
-        "aged = by_work and age_us > UNTIMED_AGED_FACTOR * self._pace.run_us(job)",
+        "aged = by_work and age_us > UNTIMED_AGED_FACTOR * self._job_timing.run_us(job)",
         "aged = False",
     ),
     "largest-do-not-begin": (
@@ -341,7 +341,7 @@
     ),
     "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, cluster_state.version(lock))", "pass"),
     "notice-taken-for-nothing-new": (
-        DESK,
+        WORKER_MANAGER,
         "worker.in_sync_and_folded if report.notice_us is None else None",
         "worker.in_sync_and_folded",
     ),
@@ -351,18 +351,18 @@
         "return None",
     ),
     "alone-sends-on-for-ever": (
-        DESK,
+        WORKER_MANAGER,
         "worker.keep_until_us = now + KEEP_WORKER_US\n            return self.peers",
         "pass\n            return self.peers",
     ),
     "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(CUT_OFF_US)", ""),
-    "copy-is-a-report": (DESK, "if (report.session, report.tick) <= worker.newest:", "if False:"),
+    "copy-is-a-report": (WORKER_MANAGER, "if (report.session, report.tick) <= worker.newest:", "if False:"),
     "token-below-the-record": (
-        DESK,
+        WORKER_MANAGER,
         "recorded_token = machine.record.token if machine is not None else 0",
         "recorded_token = 0",
     ),
-    "deaf-is-heard": (DESK, "        if newly_claimed or worker.token_confirmed:\n", "        if True:\n"),
+    "deaf-is-heard": (WORKER_MANAGER, "        if newly_claimed or worker.token_confirmed:\n", "        if True:\n"),
     "zone-not-checked": (PLACER, "if spec.same_zone and len(zones) > 1:", "if False:"),
 }
 
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -130,15 +130,15 @@
 
 def test_a_machine_that_reports_without_the_token_it_was_given_does_not_count_as_heard():
     model, name = at_work()
-    host = next(host for host in model.hosts if name in host.core.desk.workers)
-    desk = host.core.desk
+    host = next(host for host in model.hosts if name in host.core.worker_manager.workers)
+    worker_manager = host.core.worker_manager
     worker = model.workers[name]
     model.deaf[name] = (model.now + 300 * SECOND, False)
-    desk.workers[name].token, desk.workers[name].report = 0, None
+    worker_manager.workers[name].token, worker_manager.workers[name].report = 0, None
     heard = []
     for _ in range(6):
         model.copy_arrives(name, host.number, worker.report())
-        heard.append(desk.workers[name].heard_us)
+        heard.append(worker_manager.workers[name].heard_us)
         model.run(1)
     # At the first report, the token may still be on its way.
     assert len(set(heard)) == 1
@@ -161,15 +161,15 @@
     model.roaming_until = model.now + 60 * SECOND
     for _ in range(120):
         model.run(0.5)
-        known = [host.core.desk.workers.get(name) for host in model.hosts]
+        known = [host.core.worker_manager.workers.get(name) for host in model.hosts]
         if all(worker is not None and worker.newest > sent for worker in known):
             break
     model.roaming_until = 0
     model.run(3 * REPORT_S)
     # At least its owner has heard a report with a token that it issued itself.
-    assert any(host.core.desk.workers[name].token_confirmed for host in model.hosts)
+    assert any(host.core.worker_manager.workers[name].token_confirmed for host in model.hosts)
     for host in model.hosts:
-        known = host.core.desk.workers[name]
+        known = host.core.worker_manager.workers[name]
         assert known.newest > sent
         before = known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest
         model.copy_arrives(name, host.number, copy)
@@ -218,7 +218,7 @@
 def most_heard(model: Model) -> int:
     """Return the number of the controller that hears the most workers."""
     since = model.hosts[0].core.kernel.now_us - 2 * SECOND
-    hears = [sum(us > since for us in host.core.desk.heard_us().values()) for host in model.hosts]
+    hears = [sum(us > since for us in host.core.worker_manager.heard_us().values()) for host in model.hosts]
     return hears.index(max(hears))
 
 
@@ -243,7 +243,7 @@
     model.run(3.5)
     now = model.hosts[0].core.kernel.now_us
     # Otherwise the workers would stay for 11 s, and the ends of their tasks would remain unknown.
-    late = [us for us in model.hosts[number].core.desk.heard_us().values() if us > now - SECOND]
+    late = [us for us in model.hosts[number].core.worker_manager.heard_us().values() if us > now - SECOND]
     assert not late
     # No machine lost its lease.
     assert all(model.workers[name].session == n for name, n in sessions.items() if name in model.workers)
@@ -276,7 +276,7 @@
     model.checks()
     for host in model.hosts:
         # The counter as it is after many handovers.
-        host.core.desk._counter = 50
+        host.core.worker_manager._counter = 50
     model.run(3)
     # Only one machine, so that no other report tells the controllers about high tokens.
     model.submit(submission("job-0", shape="gang", pieces=2, cpus=2.0, crew="free", hulls=["small"], expect_s=6.0))
@@ -299,7 +299,7 @@
     model.checks()
     for host in model.hosts:
         # As if the settings stated times for some classes, but for none of these jobs.
-        host.core.placer.pace._all_timed = False
+        host.core.placer.job_timing._all_timed = False
     model.run(3)
     # The fleet of twelve machines keeps capacity for only two more tasks.
     model.submit(submission("job-0", shape="service", pieces=22, crew="free", hulls=["small"], urgency="urgent"))
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from ashtray.config.settings import Objective
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
-from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.minimum_share import SHARE, MinimumShare
@@ -29,9 +29,9 @@
 
     def __post_init__(self) -> None:
         self.cluster_state = ClusterState()
-        pace = Pace(OBJECTIVES, 6.0)
-        self.times = StatedTimes(OBJECTIVES, pace)
-        self.minimum_share = MinimumShare(self.cluster_state, pace)
+        job_timing = JobTiming(OBJECTIVES, 6.0)
+        self.times = StatedTimes(OBJECTIVES, job_timing)
+        self.minimum_share = MinimumShare(self.cluster_state, job_timing)
         self.now_us = START_US
         self.version = 0
         self.order()
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -135,10 +135,10 @@
     model.run(3)
     model.submit(submission("job-0", pieces=4, shape="service", crew="free"))
     model.run(20)
-    desk = model.hosts[0].core.desk
+    worker_manager = model.hosts[0].core.worker_manager
     compared: list[str] = []
-    original = desk._mark_for_fold
-    desk._mark_for_fold = lambda worker, *args: compared.append(worker.name) or original(worker, *args)
+    original = worker_manager._mark_for_fold
+    worker_manager._mark_for_fold = lambda worker, *args: compared.append(worker.name) or original(worker, *args)
     before = {name: worker.tick for name, worker in model.workers.items()}
     model.run(10)
     assert all(worker.tick > before[name] + 3 for name, worker in model.workers.items())
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -53,16 +53,16 @@
     """Safety point 2: a worker must go on reporting an ended task until its end is in the record."""
     model = model_with_running_service()
     name = next(n for machines in model.on.values() for n in machines)
-    desk = next(
-        h.core.desk
+    worker_manager = next(
+        h.core.worker_manager
         for h in model.hosts
-        if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
+        if h.core.worker_manager.workers.get(name) and h.core.worker_manager.workers[name].token_confirmed
     )
-    worker, machine = desk.workers[name], desk.base.cluster_state.machines[name]
+    worker, machine = worker_manager.workers[name], worker_manager.base.cluster_state.machines[name]
     assert machine.holds and worker.report.tasks
     ended = {key: TaskState("ended", "done") for key in worker.report.tasks}
     worker.report, worker.in_sync = msgspec.structs.replace(worker.report, tasks=ended), None
-    assert desk._compute_orders(worker, machine) == [] and worker.clears == []
+    assert worker_manager._compute_orders(worker, machine) == [] and worker.clears == []
 
 
 def resolve_nothing(states: JobStates) -> Any:
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -62,13 +62,17 @@
     core = model.hosts[number].core
     if core is None:
         return []
-    return [name for name, worker in core.desk.workers.items() if worker.token_confirmed and name in model.workers]
+    return [
+        name
+        for name, worker in core.worker_manager.workers.items()
+        if worker.token_confirmed and name in model.workers
+    ]
 
 
 def keep_reporting_to_owner(model: Model, number: int) -> None:
     """The owner's workers go on reporting to it: redirecting them to another controller is a hint that may fail."""
-    desk = model.hosts[number].core.desk
-    desk._foreman = lambda worker, report: None
+    worker_manager = model.hosts[number].core.worker_manager
+    worker_manager._foreman = lambda worker, report: None
 
 
 def refuse(model: Model, number: int, how: str, seconds: float) -> None:
@@ -220,7 +224,7 @@
     seen_by_owner = []
     while tasks_left(model, ["job-50"]):
         model.run(0.1)
-        seen_by_owner += [name for name in machines if model.hosts[owner].core.desk.workers.get(name)]
+        seen_by_owner += [name for name in machines if model.hosts[owner].core.worker_manager.workers.get(name)]
     assert seen_by_owner
 
 
--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -35,7 +35,7 @@
     def start_host(self, host: Any) -> None:
         """Start a controller and record the run times that it learns."""
         super().start_host(host)
-        estimates = host.core.desk.pace.estimates
+        estimates = host.core.worker_manager.job_timing.estimates
         ran = estimates.ran
 
         def recorded(job: Any, run_us: int, machine: Any) -> Any:
@@ -313,7 +313,7 @@
     report = model.sent_reports[name][-1]
     session, tasks = model.workers[name].session, set(model.workers[name].tasks)
     model.restart_all()
-    unaware = [number for number in model.ready() if name not in model.hosts[number].core.desk.workers]
+    unaware = [number for number in model.ready() if name not in model.hosts[number].core.worker_manager.workers]
     assert unaware
     held_answers: list[Callable[[], None]] = []
     send = model.send
--- a/tests/test_meetings_late_commands.py
+++ b/tests/test_meetings_late_commands.py
@@ -198,7 +198,7 @@
     model.long.add("job-50")
     for host in model.live():
         assert host.core is not None
-        for worker in host.core.desk.workers.values():
+        for worker in host.core.worker_manager.workers.values():
             # The state after an order without an answer: orders go out only in answers to reports.
             worker.direct_backoff_until_us = host.core.kernel.now_us + 30 * SECOND
     for worker in model.workers.values():
@@ -303,18 +303,18 @@
     name = next(name for name in sorted(model.workers) if model.owner(name) is not None)
     core = model.hosts[model.owner(name) or 0].core
     assert core is not None
-    worker = core.desk.workers[name]
+    worker = core.worker_manager.workers[name]
     report = worker.report
     assert report is not None
     worker.answered_report = (report.session, report.tick)
     # The order was executed after the report was sent and before the answer to the report arrives.
     later = msgspec.structs.replace(report, tick=report.tick + 1)
-    core.desk._on_order_answer(worker, later)
+    core.worker_manager._on_order_answer(worker, later)
     assert worker.report is later and worker.answered_report == (report.session, report.tick)
     group = core.cluster_state.groups[core.cluster_state.machines[name].group]
-    assert not core.desk._evidence(group)[name].proves_absence
+    assert not core.worker_manager._evidence(group)[name].proves_absence
     # The machine sends its next report when it has received the answer or given up on it.
-    core.desk._take_report(worker, msgspec.structs.replace(report, tick=report.tick + 2))
+    core.worker_manager._take_report(worker, msgspec.structs.replace(report, tick=report.tick + 2))
     assert worker.answered_report is None
 
 
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -18,7 +18,7 @@
 from ashtray.estimates.learned import MAX_JOBS, MAX_LEVELS, MAX_MEDIANS
 from ashtray.jobs.cancellations import MOST_ENTRIES
 from ashtray.jobs.model import LIVE, OVER
-from ashtray.kernel import Fiber, Kernel, Reply, Signal, Wait
+from ashtray.kernel import Coroutine, Kernel, Reply, Signal, Wait
 from ashtray.placement.cluster_state import MAX_OVER
 from ashtray.placement.minimum_share import MAX_SERVED as MOST_SERVED
 from ashtray.placement.records import AMOUNT_TOLERANCE
@@ -245,7 +245,7 @@
     kernel = Kernel(random.Random(1))
     signal, other, woken = Signal(), Signal(), []
 
-    def wait() -> Fiber[None]:
+    def wait() -> Coroutine[None]:
         for _ in range(100):
             woken.append((yield Wait(signal, SECOND)))
         woken.append((yield other))
@@ -469,7 +469,7 @@
     model.run(3)
     model.check_fitting_jobs()
     for host in model.hosts:
-        host.core.placer.pace._all_timed = all_timed
+        host.core.placer.job_timing._all_timed = all_timed
         model.far[host.number] = (model.now + 120 * SECOND, int((0.1 + 0.1 * host.number) * SECOND))
     largest = submit_more_than_fits(model, 150)
     model.late_share = 0.03
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -168,7 +168,7 @@
     def owner(self, name: str) -> Host | None:
         """Return the controller that owns a machine, or None."""
         for host in self.hosts:
-            worker = host.core.desk.workers.get(name) if host.core is not None else None
+            worker = host.core.worker_manager.workers.get(name) if host.core is not None else None
             if worker is not None and worker.token_confirmed and (name, worker.token) in self.committed_tokens:
                 return host
         return None
@@ -409,7 +409,9 @@
     elif just_started:
         assert model.until(lambda: ready(model.hosts[predecessor]), 20)
     running = [host.number for host in model.hosts if host.core is not None]
-    without_machine = [number for number in running if report["berth"] not in model.hosts[number].core.desk.workers]
+    without_machine = [
+        number for number in running if report["berth"] not in model.hosts[number].core.worker_manager.workers
+    ]
     answers = {number: model.deliver_copy(number, report["berth"], report) for number in running}
     model.run(0.01)
     # The case is reached: another process leads, and the copy has reached all running controllers.
@@ -418,7 +420,7 @@
     if just_started:
         assert predecessor in without_machine
     for number in set(running) - set(without_machine):
-        worker = model.hosts[number].core.desk.workers[report["berth"]]
+        worker = model.hosts[number].core.worker_manager.workers[report["berth"]]
         if worker.newest > (report["shift"], report["tick"]):
             assert answers[number] == [503]
     for _ in range(3):
@@ -442,13 +444,13 @@
     rng.shuffle(late)
     refused = 0
     for machine, report in late:
-        known = core.desk.workers.get(machine)
+        known = core.worker_manager.workers.get(machine)
         newer = known is not None and known.newest >= (report["shift"], report["tick"])
         before = None if known is None else (known.report, known.token, known.token_confirmed, known.heard_us)
         answer = model.deliver_copy(successor, machine, report)
         if known is None:
             # This process has not given out the token of the report, so the report confirms no ownership.
-            worker = core.desk.workers.get(machine)
+            worker = core.worker_manager.workers.get(machine)
             assert worker is None or not worker.token_confirmed
         elif newer:
             refused += 1
@@ -510,7 +512,7 @@
     model.crash(0, 0.3)
     assert model.until(lambda: ready(model.hosts[0]), 10)
     model.deliver_copy(0, name, report)
-    known = model.hosts[0].core.desk.workers[name]
+    known = model.hosts[0].core.worker_manager.workers[name]
     # The case is reached: the controller knows the machine by the copy only, and may choose too low a token.
     assert known.report is not None or known.redirected_us > 0
     model.run(2 * LEASE_S)
@@ -847,7 +849,7 @@
     model.crash(owner.number, 0.3)
     assert model.until(lambda: ready(owner), 10)
     assert model.deliver_copy(owner.number, name, report) == [200]
-    assert owner.core.desk.workers[name].report is not None
+    assert owner.core.worker_manager.workers[name].report is not None
     return owner
 
 
@@ -870,7 +872,7 @@
     assert {task.state for task in model.workers[name].tasks.values()} == {"running"}
     owner = deliver_to_restarted_owner(model, name, report)
     learned: list[int] = []
-    estimates = owner.core.desk.pace.estimates
+    estimates = owner.core.worker_manager.job_timing.estimates
     ran = estimates.ran
     estimates.ran = lambda job, run_us, machine: (learned.append(run_us), ran(job, run_us, machine))
     # The next reports are the machine's own: they say that the tasks run, and later that they have ended.
@@ -890,7 +892,7 @@
     # The copy, which says 30 s, arrived 20 s late.
     model.workers[name].notice_us = 10 * SECOND
     assert model.deliver_copy(owner.number, name, model.workers[name].report()) == [200]
-    leaves_us = owner.core.desk._time_left_us(owner.core.desk.workers[name])
+    leaves_us = owner.core.worker_manager._time_left_us(owner.core.worker_manager.workers[name])
     assert leaves_us is not None and leaves_us <= 10 * SECOND
 
 
--- a/tests/test_meetings_quick_boots.py
+++ b/tests/test_meetings_quick_boots.py
@@ -52,7 +52,7 @@
         if any(name in machines for machines in self.model.on.values()):
             self.with_tasks.append(name)
         cores = [host.core for host in self.model.hosts if host.core is not None]
-        last_us = max((core.desk.heard_us().get(name, 0) for core in cores), default=0)
+        last_us = max((core.worker_manager.heard_us().get(name, 0) for core in cores), default=0)
         recorded = any(name in core.cluster_state.machines for core in cores)
         if not recorded and self.model.now + SECOND - last_us < LEASE_S * SECOND:
             self.heard_unrecorded.append(name)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from ashtray.config.settings import Objective
+from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import LIVE, JobRecord, JobSpec
-from ashtray.jobs.pace import Pace
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import queue
@@ -44,7 +44,7 @@
 
 
 def order(jobs: list[tuple[str, float, int, str]], objectives: list[Objective] = OBJECTIVES) -> list[int]:
-    times = StatedTimes(objectives, Pace(objectives, 6.0))
+    times = StatedTimes(objectives, JobTiming(objectives, 6.0))
     found, _ = queue(cluster_state_of(jobs), {}, times, NOW_US)
     return [int(job.id.removeprefix("job-")) for job in found]
 
@@ -75,7 +75,7 @@
     cluster_state = cluster_state_of([("pages", 20.0, 1, "studio"), ("pages", 10.0, 1, "studio")])
     long = cluster_state.jobs["job-0"]
     long.spec.estimate_us = 300 * SECOND_US
-    times = StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0))
+    times = StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0))
     assert times.standing(long, cluster_state, NOW_US).missed == 0
     assert [job.id for job in queue(cluster_state, {}, times, NOW_US)[0]] == ["job-0", "job-1"]
 
@@ -103,7 +103,7 @@
 
 
 def served(cluster_state: ClusterState) -> list[int]:
-    found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0)), NOW_US)
+    found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0)), NOW_US)
     return [int(job.id.removeprefix("job-")) for job in found]
 
 
@@ -150,7 +150,7 @@
     cluster_state.jobs["job-1"].spec.tasks = 50
     cluster_state.jobs["job-1"].latest_us = NOW_US + 30 * SECOND_US
     cluster_state.jobs["job-2"].spec.tasks = 2
-    found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0)), NOW_US)
+    found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-1", "job-2", "job-0"]
 
 
@@ -161,7 +161,7 @@
         [("pages", 90.0, 1, "studio"), ("models", 50.0, 1, "studio"), ("pages", 40.0, 1, "studio")]
     )
     cluster_state.jobs["job-1"].spec.kind = "array"
-    found, _ = queue(cluster_state, {}, StatedTimes(objectives, Pace(objectives, 6.0)), NOW_US)
+    found, _ = queue(cluster_state, {}, StatedTimes(objectives, JobTiming(objectives, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-0", "job-1", "job-2"]
 
 
@@ -171,7 +171,7 @@
     )
     cluster_state.jobs["job-0"].latest_us = NOW_US + SECOND_US
     cluster_state.jobs["job-2"].latest_us = NOW_US - SECOND_US
-    times = StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0))
+    times = StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0))
     assert [times.standing(cluster_state.jobs[f"job-{n}"], cluster_state, NOW_US).band for n in (0, 1, 2)] == [
         0,
         0,
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize(("age_s", "missed", "aged"), [(20.0, 0, False), (40.0, 1, False), (410.0, 3, True)])
 def test_standing_of_a_job(age_s: float, missed: int, aged: bool):
     cluster_state = cluster_state_of([("pages", age_s, 1, "studio")])
-    standing = StatedTimes(OBJECTIVES, Pace(OBJECTIVES, 6.0)).standing(
+    standing = StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0)).standing(
         cluster_state.jobs["job-0"], cluster_state, NOW_US
     )
     assert (standing.missed, standing.stated, standing.aged) == (missed, 3, aged)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -179,8 +179,8 @@
     model.run(3)
     for host in model.hosts:
         host.core.store.changes.scarce = lambda: True
-        host.core.desk._fold_interval_us = lambda: 60 * SECOND
-        host.core.desk._last_fold_us = model.now + SECOND
+        host.core.worker_manager._fold_interval_us = lambda: 60 * SECOND
+        host.core.worker_manager._last_fold_us = model.now + SECOND
     model.submit(submission("job-0", pieces=18, cpus=4.0, crew="free", urgency="urgent", hulls=["small"]))
     model.run(1)
     model.submit(submission("job-1", pieces=1, crew="free", waits_on=["job-0"], due_s=300.0))
@@ -188,7 +188,9 @@
         model.run(0.25)
         if len(model.jobs["job-0"].finished) == 18:
             break
-    workers_reporting = [sum(bool(w.heard_us) for w in host.core.desk.workers.values()) for host in model.hosts]
+    workers_reporting = [
+        sum(bool(w.heard_us) for w in host.core.worker_manager.workers.values()) for host in model.hosts
+    ]
     assert sum(n > 0 for n in workers_reporting) > 1
     before = model.starts
     model.run(6)
@@ -239,7 +241,9 @@
     model.submit(submission("job-1", crew="free", waits_on=["job-0"]))
     while sum(task.state == "running" for w in model.workers.values() for task in w.tasks.values()) < pieces:
         model.run(0.1)
-    folding_host = next(host for host in model.hosts if any(w.heard_us for w in host.core.desk.workers.values()))
+    folding_host = next(
+        host for host in model.hosts if any(w.heard_us for w in host.core.worker_manager.workers.values())
+    )
     ends_us = min(task.end_us for w in model.workers.values() for task in w.tasks.values())
     model.run(max((ends_us - model.now) / SECOND - 0.8, 0.0))
     # Reads are blocked only just before the tasks end, because workers of a controller that cannot read soon move.
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -128,8 +128,8 @@
     model = busy_model(7)
     given_out = set()
     for _ in range(5):
-        desk = model.hosts[1].core.desk
-        given_out |= {desk._next_token(above) for above in (0, 0, 7 << 40)}
+        worker_manager = model.hosts[1].core.worker_manager
+        given_out |= {worker_manager._next_token(above) for above in (0, 0, 7 << 40)}
         model.crash(1, 0.02)
         model.run(2.5)
     assert len(given_out) == 15
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -54,16 +54,18 @@
 
 
 def owners(model: Model, name: str):
-    return [h.core.desk.workers[name] for h in model.hosts if h.core and name in h.core.desk.workers]
+    return [
+        h.core.worker_manager.workers[name] for h in model.hosts if h.core and name in h.core.worker_manager.workers
+    ]
 
 
 def test_no_two_processes_give_out_the_same_token():
     model = model_with_running_service()
-    desks = [host.core.desk for host in model.hosts]
+    managers = [host.core.worker_manager for host in model.hosts]
     model.crash(0, 1)
     model.run(6)
-    desks.append(model.hosts[0].core.desk)
-    tokens = [desk._next_token(above) for desk in desks for above in (0, 0, 5 << 40)]
+    managers.append(model.hosts[0].core.worker_manager)
+    tokens = [manager._next_token(above) for manager in managers for above in (0, 0, 5 << 40)]
     assert len(set(tokens)) == len(tokens)
     assert all(token > 5 << 40 for token in tokens[2::3])
 
@@ -83,13 +85,15 @@
     model = model_with_running_service()
     name = next(n for machines in model.on.values() for n in machines)
     core = next(
-        h.core for h in model.hosts if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
+        h.core
+        for h in model.hosts
+        if h.core.worker_manager.workers.get(name) and h.core.worker_manager.workers[name].token_confirmed
     )
     group = core.cluster_state.groups[core.cluster_state.machines[name].group]
-    core.desk.workers[name].in_flight = True
-    assert not core.desk._evidence(group)[name].proves_absence
-    core.desk.workers[name].in_flight = False
-    assert core.desk._evidence(group)[name].proves_absence
+    core.worker_manager.workers[name].in_flight = True
+    assert not core.worker_manager._evidence(group)[name].proves_absence
+    core.worker_manager.workers[name].in_flight = False
+    assert core.worker_manager._evidence(group)[name].proves_absence
 
 
 def test_every_change_of_a_shared_record_is_guarded_by_its_version():
@@ -131,15 +135,15 @@
 def test_orders_are_given_only_once_the_record_carries_the_token():
     model = model_with_running_service()
     name = next(n for machines in model.on.values() for n in machines)
-    desk = next(
-        h.core.desk
+    worker_manager = next(
+        h.core.worker_manager
         for h in model.hosts
-        if h.core.desk.workers.get(name) and h.core.desk.workers[name].token_confirmed
+        if h.core.worker_manager.workers.get(name) and h.core.worker_manager.workers[name].token_confirmed
     )
-    machine = desk.base.cluster_state.machines[name]
-    assert desk._owns(desk.workers[name], machine)
+    machine = worker_manager.base.cluster_state.machines[name]
+    assert worker_manager._owns(worker_manager.workers[name], machine)
     machine.record.token += 1
-    assert not desk._owns(desk.workers[name], machine)
+    assert not worker_manager._owns(worker_manager.workers[name], machine)
 
 
 def renews(model: Model, number: int) -> bool:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -274,10 +274,10 @@
 def prevent_kills(model: Model) -> None:
     """Prevent all controllers from killing tasks."""
     for host in model.hosts:
-        desk = host.core.desk
+        worker_manager = host.core.worker_manager
         host.core.cluster_state.is_over = lambda job_id: False
-        review = desk._compute_orders
-        desk._compute_orders = lambda worker, machine, review=review: [
+        review = worker_manager._compute_orders
+        worker_manager._compute_orders = lambda worker, machine, review=review: [
             order for order in review(worker, machine) if order["verb"] != "kill"
         ]
 
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -42,14 +42,14 @@
 SECOND = 1_000_000
 CPU, GPU = "cpu", "gpu"
 DUTIES = {
-    "reports": "desk.py:on_report",
-    "orders and folds": "desk.py:_reconcile_worker",
-    "folding": "desk.py:fold",
+    "reports": "worker_manager.py:on_report",
+    "orders and folds": "worker_manager.py:_reconcile_worker",
+    "folding": "worker_manager.py:fold",
     "following": "follower.py:_round",
     "planning": "placer.py:_round",
     "renting": "runner.py:round",
     "splitting": "splitting.py:run",
-    "tidying": "desk.py:tidy",
+    "tidying": "worker_manager.py:tidy",
     "users": "service.py:poll",
     "submissions": "service.py:_submit",
     "look-ups": "service.py:_look_up",
