--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -14,7 +14,7 @@
 from ashtray.config.settings import Settings
 from ashtray.estimates.estimate_store import EstimateStore
 from ashtray.estimates.operators import answer_operator
-from ashtray.fleet.runner import FleetRunner
+from ashtray.fleet.fleet_manager import FleetManager
 from ashtray.jobs.job_timing import JobTiming
 from ashtray.jobs.model import JOB_ID, NOW, ROOT
 from ashtray.jobs.service import JobService
@@ -100,7 +100,7 @@
         self.worker_manager = WorkerManager(base, self.presence, self.peers, job_timing, self.renewal)
         self.placer = Placer(base, self.presence, self.grants, job_timing, planner, self.worker_manager)
         self.jobs = JobService(base, self.presence, self.peers, planner, job_timing.estimates, self.placer.changed)
-        self.runner = FleetRunner(base, self.presence, self.peers, job_timing, planner)
+        self.fleet_manager = FleetManager(base, self.presence, self.peers, job_timing, planner)
         self.splitter = Splitter(base, self.presence)
         self.estimate_store = EstimateStore(base, self.presence, job_timing.estimates)
 
@@ -110,7 +110,7 @@
         This controller takes over some of the peer's duties, or returns them.
         """
         self.kernel.fire(self.placer.kick)
-        self.kernel.fire(self.runner.kick)
+        self.kernel.fire(self.fleet_manager.kick)
 
     def _note_cancelled_elsewhere(self, job_ids: list[str]) -> None:
         """Record cancellations that a peer knows and this controller may not have read, and end the jobs' tasks."""
@@ -198,7 +198,7 @@
         """Start all coroutines; must be called once, before any other input."""
         kernel = self.kernel
         kernel.advance(now_us, wall_us)
-        for bucket in (self.store.requests.bucket, self.store.changes.bucket, self.runner.cloud.bucket):
+        for bucket in (self.store.requests.bucket, self.store.changes.bucket, self.fleet_manager.cloud.bucket):
             bucket.at_us = kernel.now_us
         kernel.forever(self.follower.run, 0)
         kernel.forever(self.presence.run, 0)
@@ -206,7 +206,7 @@
         for peer in self.peers.peers.values():
             kernel.forever(partial(self.peers.run, peer), 0)
         kernel.forever(self.peers.budget, SECOND_US)
-        kernel.forever(self.runner.round, 0)
+        kernel.forever(self.fleet_manager.round, 0)
         kernel.forever(self.worker_manager.fold, 0)
         kernel.forever(self.worker_manager.adopt, 0)
         kernel.forever(self.worker_manager.tidy, SECOND_US)
--- a/ashtray/fleet/runner.py
+++ b/ashtray/fleet/fleet_manager.py
@@ -28,7 +28,7 @@
 """The longest pause between two rounds."""
 
 
-class FleetRunner:
+class FleetManager:
     """Runs in each controller: leads the fleet, or takes the fleet lease when it is this controller's turn."""
 
     def __init__(self, base: Base, presence: Presence, peers: Peers, job_timing: JobTiming, planner: Planner) -> None:
--- a/tests/meeting_model.py
+++ b/tests/meeting_model.py
@@ -127,7 +127,7 @@
             else:
                 since_us = self.without_owner.setdefault(name, self.now)
             self.longest_gap_us = max(self.longest_gap_us, self.now - since_us)
-        running = self.runner()
+        running = self.leader_number()
         if running is not None:
             term = running, self.hosts[running].core.presence.incarnation
             if term not in self.terms[-1:]:
@@ -156,10 +156,10 @@
                 return host.number
         return None
 
-    def runner(self) -> int | None:
+    def leader_number(self) -> int | None:
         """The fleet leader; None if there is none, or its process is paused."""
         awake = [host for host in self.live() if host.halted_until <= self.now]
-        return next((host.number for host in awake if host.core.runner.running), None)
+        return next((host.number for host in awake if host.core.fleet_manager.running), None)
 
     def live(self) -> list[Host]:
         """The controllers whose processes run."""
--- a/tests/model_troubles.py
+++ b/tests/model_troubles.py
@@ -247,11 +247,11 @@
         if host.core is None:
             return
         key = (host.number, host.life)
-        if host.core.runner.running and key not in self._known_leaders:
+        if host.core.fleet_manager.running and key not in self._known_leaders:
             self._known_leaders.add(key)
             kept, self._kept_reports = self._kept_reports, []
             self._send_kept_reports(kept, "report kept for the next leader")
-        elif not host.core.runner.running:
+        elif not host.core.fleet_manager.running:
             self._known_leaders.discard(key)
 
     # Users
--- a/tests/nights.py
+++ b/tests/nights.py
@@ -30,7 +30,7 @@
 def crash_leader(model: Model, back_s: float) -> None:
     """End the process of the fleet leader."""
     for host in model.hosts:
-        if host.core is not None and host.core.runner.running:
+        if host.core is not None and host.core.fleet_manager.running:
             model.crash(host.number, back_s)
 
 
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -32,7 +32,7 @@
 
 
 def leader_of(model: Model):
-    return next(host for host in model.hosts if host.core.runner.running)
+    return next(host for host in model.hosts if host.core.fleet_manager.running)
 
 
 @pytest.mark.parametrize("seconds", [9, 20, 40])
@@ -45,7 +45,7 @@
     host.halts_us = seconds * SECOND
     model.run(seconds + 15)
     assert set(model.workers) == before
-    assert sum(h.core.runner.running for h in model.hosts) == 1
+    assert sum(h.core.fleet_manager.running for h in model.hosts) == 1
     assert host.core.presence.signed_in()
 
 
@@ -73,8 +73,8 @@
     host = leader_of(model)
     host.refused_until = model.now + 30 * SECOND
     model.run(12)
-    assert not host.core.runner.running
-    assert sum(h.core.runner.running for h in model.hosts) == 1
+    assert not host.core.fleet_manager.running
+    assert sum(h.core.fleet_manager.running for h in model.hosts) == 1
 
 
 @pytest.mark.parametrize(
@@ -217,7 +217,7 @@
 
 
 def test_a_late_list_condemns_nothing_newer_than_what_it_shows():
-    inventory = Model(1).hosts[0].core.runner.inventory
+    inventory = Model(1).hosts[0].core.fleet_manager.inventory
     inventory.listed, inventory._newest = {"vm-000001": "running", "vm-000003": "running"}, "vm-000003"
     assert inventory.unlisted("vm-000002")
     assert not inventory.unlisted("vm-000004")
@@ -283,9 +283,9 @@
     core.kernel.now_us = later
     for peer in core.peers.peers.values():
         peer.word_us = later
-    assert min(core.runner.inventory.silences().values()) > 50 * SECOND
+    assert min(core.fleet_manager.inventory.silences().values()) > 50 * SECOND
     core.kernel.awake_us = later
-    assert max(core.runner.inventory.silences().values()) == 0
+    assert max(core.fleet_manager.inventory.silences().values()) == 0
 
 
 def test_the_only_machine_of_a_type_that_never_comes_up_is_replaced() -> None:
--- a/tests/test_meetings_handovers.py
+++ b/tests/test_meetings_handovers.py
@@ -155,7 +155,7 @@
     ids = [f"job-{n}" for n in range(20)]
     terms = len(model.terms)
     for n in range(10):
-        leader = model.runner()
+        leader = model.leader_number()
         number = model.terms[-1][0] if leader is None else leader
         if outage_s and n % 4 == 2:
             model.state_outage(outage_s)
@@ -195,7 +195,7 @@
     model = Meeting(104, 5)
     model.begin(batch(n) for n in range(6))
     names = sorted(model.machines_of("job-0"))
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     terms = len(model.terms)
     model.hang_all(names, 60)
@@ -203,14 +203,14 @@
     model.run(first_s)
     assert model.jobs["job-0"].told == "cancelled" and model.machines_of("job-0") == set(names)
     model.change(how, leader, 60)
-    wait_until(model, lambda: model.runner() not in (None, leader), LEASE_S)
+    wait_until(model, lambda: model.leader_number() not in (None, leader), LEASE_S)
     model.run(second_s)
-    second = model.runner()
+    second = model.leader_number()
     assert second is not None and model.machines_of("job-0") == set(names)
     model.change(how, second, 60)
     model.run(CANCEL_S)
     # The case is reached: three controllers have led while the machines were silent.
-    assert len(model.terms) - terms >= 2 and model.runner() not in (None, leader, second)
+    assert len(model.terms) - terms >= 2 and model.leader_number() not in (None, leader, second)
     assert model.gone_s("job-0") <= CANCEL_S
 
 
@@ -368,7 +368,7 @@
             model.hang_all([name], loss_s)
         else:
             model.cut_off([name], loss_s)
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     model.change("crash", leader, 5)
     for _ in range(40):
--- a/tests/test_meetings_hung_machines.py
+++ b/tests/test_meetings_hung_machines.py
@@ -96,7 +96,7 @@
     model = eight_busy_machines(61, hosts)
     ids = [f"job-{n}" for n in range(HUNG_COUNT)]
     names = sorted({name for job_id in ids for name in model.machines_of(job_id)})[:HUNG_COUNT]
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     model.fault, model.fault_until_us = fault, model.now + int(CLOUD_FAULT_S * SECOND)
     cancel_while_hung(model, ids, names, 60)
@@ -109,7 +109,7 @@
     # The case is reached: all cancellations were confirmed and at least one deletion failed before those that worked.
     assert all(model.jobs[job_id].told == "cancelled" for job_id in ids)
     assert model.failed_deletions >= 1
-    assert leader_crash_s is None or model.runner() not in (None, leader)
+    assert leader_crash_s is None or model.leader_number() not in (None, leader)
     assert all(model.deleted_us[name] for name in names)
     assert max(model.gone_s(job_id) for job_id in ids) < CANCEL_S
     assert not model.late_starts
@@ -142,7 +142,7 @@
     model = at_the_limit(82)
     ids = ["job-0", "job-2", "job-10", "job-13"]
     names = sorted({name for job_id in ids for name in model.machines_of(job_id)})[:HUNG_COUNT]
-    leader = model.runner()
+    leader = model.leader_number()
     use_before = model.use(), model.cards()
     assert use_before == (TEAM["cpus_max"], 8.0) and leader is not None
     model.cloud.down = True
--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -147,7 +147,7 @@
     (name, *_) = sorted(model.machines_of("job-1"))
     report = LAST_REPORTS[session_end](model, name)
     running = {task["piece"] for task in report["pieces"] if task["status"] == "running"}
-    leader = model.runner()
+    leader = model.leader_number()
     if first_arrival == "copy first":
         isolate(model, name, 1.5)
     model.restart_all()
@@ -188,7 +188,7 @@
     model = busy_model(112, hosts)
     names = sorted(model.machines_of("job-2"))
     reports = [model.sent_reports[name][-1] for name in names]
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     # The machines of a cancelled job are out of reach, and only copies of their reports arrive.
     for name in names:
@@ -286,7 +286,7 @@
             isolate(model, names[0], LEASE_S + 3)
         elif turn == 2:
             model.bounce(names[-1], RESTART_S)
-        leader = model.runner()
+        leader = model.leader_number()
         if leader is not None:
             model.cancel(f"job-{turn}" if turn < 2 else f"job-{18 + turn}")
             model.change(how, leader, RESTART_S if turn % 2 else 3.0)
--- a/tests/test_meetings_late_writes.py
+++ b/tests/test_meetings_late_writes.py
@@ -446,10 +446,10 @@
     for _ in range(100):
         model.run(0.05)
         # A controller that has given up its lease commits nothing under its term, although it may not know yet.
-        leases = [host.core.runner.lease for host in model.hosts if host.core is not None]
+        leases = [host.core.fleet_manager.lease for host in model.hosts if host.core is not None]
         assert sum(lease.running and lease.holds() for lease in leases) <= 1
     core = model.hosts[leader_of(model)].core
-    assert core.runner.lease.term == model.state.keys[FLEET][1]
+    assert core.fleet_manager.lease.term == model.state.keys[FLEET][1]
     # The second delayed transaction of the same sender finds the key taken.
     troubles.carry_out(troubles.meetings[1])
     assert troubles.meetings[1].status == 409
@@ -460,7 +460,7 @@
 
 def leader_of(model: Model) -> int | None:
     """Return the fleet leader, or None."""
-    running = [host.number for host in model.hosts if host.core is not None and host.core.runner.running]
+    running = [host.number for host in model.hosts if host.core is not None and host.core.fleet_manager.running]
     return running[0] if running else None
 
 
--- a/tests/test_meetings_leaders.py
+++ b/tests/test_meetings_leaders.py
@@ -76,7 +76,7 @@
     terms = len(model.terms)
     ids = sorted(model.jobs)
     for n in range(10):
-        number = model.runner()
+        number = model.leader_number()
         if number is None:
             number = model.terms[-1][0]
         change = ["crash", "hand over", "blink"][n % 3] if how == "mixed" else how
@@ -131,7 +131,7 @@
     sessions = {name: model.workers[name].session for name in names}
     tasks = {name: set(model.workers[name].tasks) for name in names}
     away_s = (0.55 if fault == "hang" else 0.3) * lease_s
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None and all(tasks.values())
 
     def inject_fault() -> None:
@@ -153,7 +153,7 @@
         inject_fault()
     model.run(4 * lease_s)
     # The case is reached: another controller is the fleet leader, and every machine that was away has an owner.
-    assert model.runner() not in (None, leader)
+    assert model.leader_number() not in (None, leader)
     assert all(model.owner(name) is not None for name in names)
     assert {name: model.workers[name].session for name in names} == sessions
     assert {name: set(model.workers[name].tasks) for name in names} == tasks
@@ -165,7 +165,7 @@
     model.begin(batch(n) for n in range(6))
     model.run(5)
     names = sorted(model.workers)[:2]
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     if fault == "cut":
         model.cut_off(names, 200)
@@ -188,7 +188,7 @@
     model = Meeting(seed)
     model.begin(batch(n) for n in range(6))
     model.run(2)
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     leader_machines = [name for name in model.workers if model.owner(name) == leader]
     for target in ("state", *(f"c{host.number}" for host in model.hosts if host.number != leader)):
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -113,7 +113,7 @@
     model = at_the_limit(81)
     ids = ["job-0", "job-2", "job-10", "job-13"]
     names = sorted(model.machines_of("job-0") | model.machines_of("job-10"))
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     model.nodes = [number for number in range(3) if number != leader]
     if leader_change_s < 0:
@@ -130,7 +130,7 @@
     # The case is reached: both limits were used up at the first cancellation; then another controller became leader.
     assert use_before == (TEAM["cpus_max"], RENDER.gpus_max)
     assert all(model.jobs[job_id].told == "cancelled" for job_id in ids)
-    assert model.runner() not in (None, leader)
+    assert model.leader_number() not in (None, leader)
     # Reachable tasks end at once even under another owner; the others end with their lease or their machine.
     assert max(model.gone_s("job-2"), model.gone_s("job-13")) < LEASE_S
     away_s = max(model.gone_s("job-0"), model.gone_s("job-10"))
@@ -206,7 +206,7 @@
     model = Meeting(83)
     model.begin(batch(n) for n in range(6))
     names = sorted(model.machines_of("job-0"))
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     model.nodes = [number for number in range(3) if number != leader]
     model.hang_all(names, 60)
@@ -217,7 +217,7 @@
     model.change(how, leader, 40)
     # The model checks twice a second that no cancelled task is left after `CANCEL_S`.
     model.run(CANCEL_S + 5)
-    assert model.runner() not in (None, leader)
+    assert model.leader_number() not in (None, leader)
     assert model.gone_s("job-0") <= CANCEL_S
 
 
@@ -225,7 +225,7 @@
 def test_a_machine_that_was_silent_for_a_while_before_the_leader_changed_is_kept(away_s: float) -> None:
     model = Meeting(84)
     model.begin(batch(n) for n in range(6))
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     # A machine that reports to the leader would also be silent until its next report times out.
     names = [name for name in sorted(model.workers) if model.owner(name) != leader][:3]
@@ -235,7 +235,7 @@
     model.run(away_s - 0.2)
     model.hosts[leader].halted_until = model.now + 40 * SECOND
     model.run(40)
-    assert model.runner() not in (None, leader)
+    assert model.leader_number() not in (None, leader)
     assert set(names) <= set(model.workers)
 
 
@@ -257,7 +257,7 @@
     """Apply one generated fault to the fleet leader or another controller, to all, or to every fourth machine."""
     kind, *rest = fault
     if kind == "change":
-        leader = model.runner()
+        leader = model.leader_number()
         number = leader if rest[1] and leader is not None else model.rng.randrange(len(model.hosts))
         model.change(rest[0], number, rest[2])
     elif kind == "away":
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -163,7 +163,7 @@
 
     def leader(self) -> Host | None:
         """Return the fleet leader, or None."""
-        return next((host for host in self.hosts if host.core is not None and host.core.runner.running), None)
+        return next((host for host in self.hosts if host.core is not None and host.core.fleet_manager.running), None)
 
     def owner(self, name: str) -> Host | None:
         """Return the controller that owns a machine, or None."""
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
-@pytest.mark.parametrize("crashed", ["runner", "owner"])
+@pytest.mark.parametrize("crashed", ["leader", "owner"])
 @pytest.mark.parametrize("fate", [LOST, LATE])
 @pytest.mark.parametrize("affected", list(WRITE_KINDS))
 def test_fast_machines_get_their_work_once_though_writes_lag_and_the_leader_ends(seed, crashed, fate, affected):
@@ -257,7 +257,7 @@
     model.run(8)
     # The case is reached: writes got no answers; if the leader crashed, another process leads.
     assert model.unanswered
-    if crashed == "runner":
+    if crashed == "leader":
         leader = model.leader()
         assert leader is not None and leader.core.cluster_state.fleet != term
     busy = {start.machine for starts in model.task_starts.values() for start in starts}
@@ -280,12 +280,12 @@
     assert leader is not None
     model.crash(leader.number, RESTART_S)
     assert model.until(
-        lambda: (successor := model.leader()) is not None and successor.core.runner.inventory.listed_us > 0, 10
+        lambda: (successor := model.leader()) is not None and successor.core.fleet_manager.inventory.listed_us > 0, 10
     )
     successor = model.leader()
     with_tasks = {machine for machines in model.on.values() for machine in machines}
     # The case is reached: the successor has listed the machines, and one that runs tasks is not in the list.
-    assert with_tasks - set(successor.core.runner.inventory.listed)
+    assert with_tasks - set(successor.core.fleet_manager.inventory.listed)
     settle(model)
     assert all(len(starts) == 1 for starts in model.task_starts.values())
 
@@ -305,7 +305,7 @@
     name = next(iter(model.workers))
     model.run(5)
     # The case is reached: the machine is listed as running, and no controller has received a report of it.
-    assert model.leader().core.runner.inventory.listed.get(name) == "running" and model.refused_connections
+    assert model.leader().core.fleet_manager.inventory.listed.get(name) == "running" and model.refused_connections
     assert model.groups_of(name) == []
     settle(model)
     assert all(len(model.groups_of(name)) <= 1 for name in model.workers)
@@ -405,7 +405,7 @@
         model.cut(f"c{model.leader().number}", report["berth"], 4, False)
     predecessor, successor = crash_leader(model, back_s=1.0 if just_started else RESTART_S)
     if when == "after it has decided":
-        assert model.until(lambda: model.hosts[successor].core.runner.handover.takeover.decided, 20)
+        assert model.until(lambda: model.hosts[successor].core.fleet_manager.handover.takeover.decided, 20)
     elif just_started:
         assert model.until(lambda: ready(model.hosts[predecessor]), 20)
     running = [host.number for host in model.hosts if host.core is not None]
--- a/tests/test_meetings_mute_machines.py
+++ b/tests/test_meetings_mute_machines.py
@@ -445,7 +445,7 @@
         model.submit(batch(n, **({"crew": "crew"} if n % 2 else gpus)))
     model.run(3)
     names = sorted(model.machines_of("job-0") | model.machines_of("job-1") | model.machines_of("job-10"))
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     model.nodes = [host.number for host in model.hosts if host.number != leader]
     model.begin_fault(fault, names, back_s)
@@ -459,7 +459,7 @@
     # The case is reached: both limits were fully used, the cancellations are confirmed, and the leader has changed.
     assert full_use == (TEAM["cpus_max"], RENDER.gpus_max)
     assert model.jobs["job-0"].told == model.jobs["job-10"].told == "cancelled"
-    assert owner_change is None or model.runner() not in (None, leader)
+    assert owner_change is None or model.leader_number() not in (None, leader)
     assert max(model.gone_s("job-0"), model.gone_s("job-10")) <= LEASE_S
     # No part of the limits is lost: the waiting jobs use all of it.
     assert model.until(lambda: (model.use(), model.cards()) == full_use, 90)
--- a/tests/test_meetings_quick_boots.py
+++ b/tests/test_meetings_quick_boots.py
@@ -163,7 +163,7 @@
     while not troubles.meetings or model.now < 4 * SECOND:
         model.run(0.1)
     model.run(max(CRASH_MOMENTS_S[moment] - (model.now - troubles.meetings[0].sent_us) / SECOND, 0))
-    (leader,) = [host.number for host in model.hosts if host.core is not None and host.core.runner.running]
+    (leader,) = [host.number for host in model.hosts if host.core is not None and host.core.fleet_manager.running]
     model.crash(leader, 5.0)
     model.run(20)
     settle(model, 90)
--- a/tests/test_meetings_team_limits.py
+++ b/tests/test_meetings_team_limits.py
@@ -114,7 +114,7 @@
 
 def leader_and_main_owner(model: Meeting) -> list[int]:
     """Return the fleet leader and the controller that owns the most machines; they may be the same."""
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     return sorted({leader, busiest(model)})
 
@@ -187,10 +187,10 @@
     assert still_counted(model, ids, names) or fault == "hang"
     for _ in range(24):
         # If the other controllers agree on no successor, one begins only after the former leader's lease has ended.
-        if model.runner() not in (None, *failed):
+        if model.leader_number() not in (None, *failed):
             break
         model.run(0.25)
-    assert model.runner() not in (None, *failed)
+    assert model.leader_number() not in (None, *failed)
     with check_neglect_after(model):
         model.run(AWAY_S)
     # Shares moved meanwhile or later, because the waiting jobs needed the shares of the lost controllers.
@@ -244,7 +244,7 @@
     ids = [f"job-{n}" for n in range(5)]
     names = {name for job_id in ids for name in model.machines_of(job_id)}
     bystanders = sorted(set(model.workers) - names)
-    leader = model.runner()
+    leader = model.leader_number()
     assert leader is not None
     model.nodes = [number for number in range(hosts) if number != leader]
     model.hang_all(sorted(names), 60)
@@ -258,7 +258,7 @@
         model.change(how, leader, 60)
     # The model checks twice a second that no cancelled task is left after `CANCEL_S`.
     model.run(CANCEL_S + 5)
-    assert how is None or model.runner() not in (None, leader)
+    assert how is None or model.leader_number() not in (None, leader)
     assert max(model.gone_s(job_id) for job_id in ids) <= CANCEL_S
     assert set(bystanders) <= set(model.workers)
 
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -383,7 +383,7 @@
     assert {machine.name for machine in model.cloud.alive()} == known
     shares = state.keys[TEAM + "crew"][0] if TEAM + "crew" in state.keys else {}
     assert sum(cpus for cpus, _ in shares.values()) <= LIMITED_TEAM["cpus_max"] + 1e-6
-    assert sum(host.core.runner.running for host in alive) == 1
+    assert sum(host.core.fleet_manager.running for host in alive) == 1
 
 
 PASSED = {"accept": 2, "place": 4, "fold": 6, "renew lease": 15, "adopt": 1, "intent": 1, "change of a share": 1}
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -112,13 +112,13 @@
 
 def test_a_leader_that_restarts_within_its_term_passes_all_checks() -> None:
     model = busy_model(6)
-    number = next(n for n, host in enumerate(model.hosts) if host.core.runner.running)
-    term = model.hosts[number].core.runner.lease.term
+    number = next(n for n, host in enumerate(model.hosts) if host.core.fleet_manager.running)
+    term = model.hosts[number].core.fleet_manager.lease.term
     model.crash(number, 0.05)
     model.run(6)
-    core = next(host.core for host in model.hosts if host.core.runner.running)
-    assert core.runner.lease.term > term
-    assert all(check in core.runner.handover.takeover.passed for check in Check)
+    core = next(host.core for host in model.hosts if host.core.fleet_manager.running)
+    assert core.fleet_manager.lease.term > term
+    assert all(check in core.fleet_manager.handover.takeover.passed for check in Check)
     # The fleet lease is the new process's, not its predecessor's.
     fleet, _ = core.cluster_state.fleet
     assert fleet["incarnation"] == core.presence.incarnation
@@ -229,7 +229,7 @@
     there = set(model.workers)
     assert len(there) >= 20
     for number in range(HOSTS):
-        if not model.hosts[number].core.runner.running:
+        if not model.hosts[number].core.fleet_manager.running:
             model.crash(number, back_s)
             model.run(12)
     assert there <= set(model.workers)
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -32,7 +32,7 @@
 
 
 def leaders(model: Model) -> list[Host]:
-    return [host for host in model.hosts if host.core is not None and host.core.runner.running]
+    return [host for host in model.hosts if host.core is not None and host.core.fleet_manager.running]
 
 
 def act_at(model: Model, point: str, act: Callable[[Host], None]) -> list[int]:
@@ -162,7 +162,7 @@
     model.checks()
     model.run(8)
     for host in model.hosts:
-        host.core.runner.provisioning.intents.all = False
+        host.core.fleet_manager.provisioning.intents.all = False
         host.core.presence._upgraded = 1
         for seen in host.core.cluster_state.controllers.values():
             seen["form"] = 1
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -71,7 +71,7 @@
 def end_leader(model: Model, back_s: float) -> None:
     """End the process of the fleet leader; it starts again after `back_s`."""
     for host in model.hosts:
-        if host.core is not None and host.core.runner.running:
+        if host.core is not None and host.core.fleet_manager.running:
             model.crash(host.number, back_s)
 
 
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -47,7 +47,7 @@
     "folding": "worker_manager.py:fold",
     "following": "follower.py:_round",
     "planning": "placer.py:_round",
-    "renting": "runner.py:round",
+    "renting": "fleet_manager.py:round",
     "splitting": "splitting.py:run",
     "tidying": "worker_manager.py:tidy",
     "users": "service.py:poll",
