--- a/ashtray/base.py
+++ b/ashtray/base.py
@@ -23,7 +23,7 @@
     """
 
     settings: Settings
-    knobs: OperatorSettings
+    operator_settings: OperatorSettings
     teams: dict[str, Team]
     kernel: Kernel
     limits: Limits
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -181,7 +181,7 @@
         """
         base = self.base
         yield Sleep(CHECK_INTERVAL_US)
-        if not base.knobs.keep_estimates:
+        if not base.operator_settings.keep_estimates:
             return
         live = max(len(self.presence.live()), 1) if base.follower.loaded else 1
         rate = WRITE_SHARE * base.settings.cluster.state.write_rps
--- a/ashtray/fleet/fleet_manager.py
+++ b/ashtray/fleet/fleet_manager.py
@@ -36,7 +36,7 @@
         self.presence = presence
         self.kick = Signal()
         """A wake-up signal: begins a round at once."""
-        boot_times = BootTimes(base.cluster_state, base.knobs.boot_patience)
+        boot_times = BootTimes(base.cluster_state, base.operator_settings.boot_patience)
         backoff = CapacityBackoff(base.kernel)
         self.cloud = CloudClient(base)
         self.lease = FleetLease(base, presence)
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -177,7 +177,7 @@
         """
         machine_type = self.base.cluster_state.types.get(machine.type)
         boot_us = machine_type.boot_us if machine_type is not None else UNKNOWN_BOOT_US
-        boots = self.base.knobs.idle_boots
+        boots = self.base.operator_settings.idle_boots
         cheapest = self.forecaster.cheapest_for_urgent.values()
         if any(machine.type == kind.type and machine.record.spot == kind.spot for kind in cheapest):
             boots *= URGENT_IDLE_FACTOR
--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -58,7 +58,9 @@
         if room is None:
             place["note"] = "the machine is being returned"
         else:
-            place["rules"] = {n: PREFERENCES[n].score(room, ask, plan.knobs) for n in plan.knobs.rules}
+            place["rules"] = {
+                n: PREFERENCES[n].score(room, ask, plan.operator_settings) for n in plan.operator_settings.rules
+            }
         if allocation.record.stop_us >= 0:
             place["note"] = "being stopped"
         answer["places"].append(place)
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -96,7 +96,7 @@
         self.job_timing = job_timing
         self.planner = planner
         self.worker_manager = worker_manager
-        self._recent_failures: deque[bool] = deque(maxlen=base.knobs.window)
+        self._recent_failures: deque[bool] = deque(maxlen=base.operator_settings.window)
         """For each of the last commits, whether it failed."""
         self.kick = Signal()
         self._seen_changes = -1
@@ -126,7 +126,7 @@
         """Return the probability of a random choice among the best machines; it rises with conflicts, up to a cap."""
         if not self._recent_failures:
             return 0.0
-        return min(sum(self._recent_failures) / len(self._recent_failures), self.base.knobs.widen_cap)
+        return min(sum(self._recent_failures) / len(self._recent_failures), self.base.operator_settings.widen_cap)
 
     def run(self) -> Coroutine[None]:
         """Run placement rounds forever.
@@ -475,7 +475,7 @@
 
     def _commit(self, batch: Batch) -> Coroutine[bool]:
         base = self.base
-        for retry in range(base.knobs.retries):
+        for retry in range(base.operator_settings.retries):
             lines: list[str] = []
             build = partial(self._transaction, batch, lines)
             # Urgent batches share a priority with the folds: otherwise a controller with many workers never gets to
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -109,7 +109,7 @@
     def plan(self) -> Plan:
         """Return a new plan of the current cluster state."""
         base = self._base
-        return Plan(base.cluster_state, base.teams, base.knobs, base.kernel.rng, base.limits)
+        return Plan(base.cluster_state, base.teams, base.operator_settings, base.kernel.rng, base.limits)
 
     def queue(self) -> tuple[list[Job], set[str]]:
         """Return the waiting jobs in queue order, and the ids of the live jobs within their team's guarantee."""
@@ -123,13 +123,13 @@
         self,
         cluster_state: ClusterState,
         teams: dict[str, Team],
-        knobs: OperatorSettings,
+        operator_settings: OperatorSettings,
         rng: random.Random,
         limits: Limits,
     ) -> None:
         self.cluster_state = cluster_state
         self.teams = teams
-        self.knobs = knobs
+        self.operator_settings = operator_settings
         self.rng = rng
         self.rooms: list[Room] = []
         kinds = cluster_state.types
@@ -207,7 +207,8 @@
             free_m += room.memory_gb
         whole, free = (whole_c, whole_g, whole_m), (free_c, free_g, free_m)
         c, g, m = (
-            weight * (1.1 - f / w if w else 1.0) for weight, f, w in zip(self.knobs.weights, free, whole, strict=True)
+            weight * (1.1 - f / w if w else 1.0)
+            for weight, f, w in zip(self.operator_settings.weights, free, whole, strict=True)
         )
         return c, g, m
 
@@ -389,7 +390,7 @@
             rooms = [r for r in candidates if r.cpus >= cpus and r.gpus >= gpus and r.memory_gb >= memory]
             self.visits += len(rooms)
             request.due_groups, request.writes_scarce = self.due_groups, self.writes_scarce
-            ranked = rank(rooms, request, count, self.knobs, self.rng)
+            ranked = rank(rooms, request, count, self.operator_settings, self.rng)
             ranked.reverse()
             if ranking_key is not None:
                 self._ranked[ranking_key] = ranked
@@ -404,7 +405,7 @@
         while count > 0 and ranked:
             pick = 0
             if pick_chance > 0 and self.rng.random() < pick_chance:
-                pick = self.rng.randrange(min(self.knobs.top, len(ranked)))
+                pick = self.rng.randrange(min(self.operator_settings.top, len(ranked)))
             room = ranked.pop(-1 - pick)
             zone = room.machine.zone
             n = min(count, room.fits(spec), request.zone_allows(zone))
--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -140,21 +140,21 @@
 ]
 
 
-def _trust(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _trust(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
     return min(room.blame, 3) + (2 if room.machine.name in ask.failed_on else 0)
 
 
-def _image(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _image(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
     seconds = fetch_s(room, ask)
     # A fetch can use up all the time that an urgent job may wait; for other jobs, only a long one matters.
     return math.ceil(min(seconds / (3.0 if ask.priority <= 1 else 20.0), 6.0))
 
 
-def _spare_gpu_machines(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _spare_gpu_machines(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
     return 1 if room.type.gpus > 0 and ask.spec.gpus == 0 else 0
 
 
-def _spot(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _spot(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
     return 0 if room.machine.record.spot == ask.spec.spot else 1
 
 
@@ -172,19 +172,19 @@
     return remaining / whole if whole else 0.0
 
 
-def _packing(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
-    return math.ceil(packing_score(room, ask) * knobs.buckets)
+def _packing(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
+    return math.ceil(packing_score(room, ask) * operator_settings.buckets)
 
 
 FEW_GROUPS = "few-groups"
 """The preference for groups that can take many of the tasks, so that few records are written."""
 
 
-def _few_groups(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _few_groups(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
     return ask.extra_writes.get(room.machine.group, 0)
 
 
-def _scarce_writes(room: Room, ask: Ask, knobs: OperatorSettings) -> float:
+def _scarce_writes(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
     # While writes are scarce, writing few records is worth more than a cached image, except for urgent jobs.
     return ask.extra_writes.get(room.machine.group, 0) if ask.writes_scarce and ask.priority > 1 else 0
 
@@ -222,7 +222,9 @@
         included."""
 
 
-def rank(rooms: list[Room], ask: Ask, count: int, knobs: OperatorSettings, rng: random.Random) -> list[Room]:
+def rank(
+    rooms: list[Room], ask: Ask, count: int, operator_settings: OperatorSettings, rng: random.Random
+) -> list[Room]:
     """Return the machines that may be used, the best first; among equals the order is random.
 
     `count` is the number of tasks to place.  `ask.extra_writes` is filled in.  Equal machines are evaluated only
@@ -233,16 +235,16 @@
     extra_writes = ask.extra_writes = {
         group: 0 if group in ask.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
     }
-    rules = [PREFERENCES[name] for name in knobs.rules]
+    rules = [PREFERENCES[name] for name in operator_settings.rules]
     by_score: dict[tuple[float, ...], list[tuple[float, Room]]] = {}
     for room, equals in valid_rooms:
         number = extra_writes[room.machine.group]
         same_score = equals.by_extra_writes.get(number)
         if same_score is None:
-            score = tuple(rule.score(room, ask, knobs) for rule in rules)
+            score = tuple(rule.score(room, ask, operator_settings) for rule in rules)
             same_score = equals.by_extra_writes[number] = by_score.setdefault(score, [])
         same_score.append((rng.random(), room))
-    prefix = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
+    prefix = operator_settings.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in operator_settings.rules else 0
     return _in_order(by_score, prefix)
 
 
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -467,7 +467,9 @@
             if not kinds:
                 return None
             largest = max(kinds.values(), key=len)
-            txn, adopted[:] = adoption(self.base.cluster_state, largest, self.base.knobs.group_size, self.base.limits)
+            txn, adopted[:] = adoption(
+                self.base.cluster_state, largest, self.base.operator_settings.group_size, self.base.limits
+            )
             return txn
 
         if (yield from self.base.follower.commit(build, 2, Urgency.FREE, "adopt")):
--- a/tests/model.py
+++ b/tests/model.py
@@ -72,7 +72,7 @@
         self,
         seed: int,
         hosts: int = 3,
-        knobs: OperatorSettings | None = None,
+        operator_settings: OperatorSettings | None = None,
         following: Next | None = None,
         before: Any = None,
     ) -> None:
@@ -81,7 +81,7 @@
         `following`: the limits of the state service that were announced for later; `before`: the package of the
         previous version, which all controllers run at first.
         """
-        self.knobs = knobs or OperatorSettings()
+        self.operator_settings = operator_settings or OperatorSettings()
         self.following = following
         self.before = before
         self.rng = random.Random(seed)
@@ -166,7 +166,7 @@
             host.core = self.before.Controller(settings, self.before.Knobs(**self._operator_settings_given()), rng)
         else:
             settings = settings_for(host.number, len(self.hosts), self.following)
-            host.core = Controller(settings, self.knobs, rng)
+            host.core = Controller(settings, self.operator_settings, rng)
         core = host.core
         core.kernel.strict = True
         # Where a worker is redirected to and which controller places a job are hints: no rule may depend on them.
@@ -179,7 +179,7 @@
         self._controller_starts(host)
 
     def _operator_settings_given(self) -> dict[str, Any]:
-        return {"group_size": self.knobs.group_size}
+        return {"group_size": self.operator_settings.group_size}
 
     def limits_fall(self) -> None:
         """Put the announced limits into force, without notice.
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -171,11 +171,11 @@
 
 
 def rank_one_by_one(
-    rooms: list[Room], ask: Ask, count: int, knobs: OperatorSettings, rng: random.Random
+    rooms: list[Room], ask: Ask, count: int, operator_settings: OperatorSettings, rng: random.Random
 ) -> list[Room]:
     """The result that `rank` must give, with each machine scored by itself."""
-    rules = [PREFERENCES[name] for name in knobs.rules]
-    rule_count = knobs.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in knobs.rules else 0
+    rules = [PREFERENCES[name] for name in operator_settings.rules]
+    rule_count = operator_settings.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in operator_settings.rules else 0
     fitting = [room for room in rooms if valid(room, ask)]
     fits: dict[str, int] = {}
     for room in fitting:
@@ -183,7 +183,9 @@
     ask.extra_writes = {
         group: 0 if group in ask.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
     }
-    scored = [(tuple(rule.score(room, ask, knobs) for rule in rules), rng.random(), room) for room in fitting]
+    scored = [
+        (tuple(rule.score(room, ask, operator_settings) for rule in rules), rng.random(), room) for room in fitting
+    ]
     scored.sort(key=lambda entry: entry[:2])
     if not rule_count:
         return [room for _, _, room in scored]
@@ -214,7 +216,9 @@
     cpus, gpus = draw.choice([0.0, 2.0, 3.5]), draw.choice([0.0, 0.0, 1.0])
     kind_of = "gang" if gang else "array"
     spec = JobSpec("any", "crew", kind_of, priority, count, cpus, gpus, 8.0, "img", 3.0, spot=draw.random() < 0.5)
-    knobs = OperatorSettings() if draw.random() < 0.7 else OperatorSettings(rules=("trust", "image", "packing"))
+    operator_settings = (
+        OperatorSettings() if draw.random() < 0.7 else OperatorSettings(rules=("trust", "image", "packing"))
+    )
     ask = Ask(
         spec,
         priority=priority,
@@ -229,8 +233,8 @@
         due_groups={"group-1"},
         failed_on=frozenset({"vm-1", "vm-2"}),
     )
-    found = rank(list(rooms), ask, count, knobs, random.Random(seed))
-    assert found == rank_one_by_one(rooms, plain, count, knobs, random.Random(seed))
+    found = rank(list(rooms), ask, count, operator_settings, random.Random(seed))
+    assert found == rank_one_by_one(rooms, plain, count, operator_settings, random.Random(seed))
     assert ask.extra_writes == plain.extra_writes
 
 
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -65,7 +65,7 @@
 class MeetingModel(Model):
     """The model with faults that only these tests need, and with a record of starts, reports and direct orders."""
 
-    def __init__(self, seed: int, hosts: int = 3, knobs: OperatorSettings | None = None) -> None:
+    def __init__(self, seed: int, hosts: int = 3, operator_settings: OperatorSettings | None = None) -> None:
         self.fate_of: Callable[[dict[str, Any]], str | None] = lambda body: None
         """Chooses what happens to a transaction; None: it is carried out and answered."""
         self.unanswered: list[Unanswered] = []
@@ -83,7 +83,7 @@
         self.run_s: Callable[[Key], float] | None = None
         """Returns how long a task runs, in seconds, where a test sets it."""
         self.fetch_s = 1.0
-        super().__init__(seed, hosts, knobs)
+        super().__init__(seed, hosts, operator_settings)
         self._handle_state = self.state.handle
         self.state.handle = self._watch_state  # type: ignore[method-assign]
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -175,7 +175,7 @@
 def test_the_next_stage_does_not_wait_for_delayed_folds():
     # When a job's last workers report to different controllers, no controller knows from its own reports that the job
     # is done.  With folds delayed because writes are scarce, its dependents waited up to 20 s.
-    model = Model(7, knobs=OperatorSettings(group_size=1), following=(2.0, 5))
+    model = Model(7, operator_settings=OperatorSettings(group_size=1), following=(2.0, 5))
     model.run(3)
     for host in model.hosts:
         host.core.store.changes.scarce = lambda: True
@@ -233,7 +233,7 @@
     # A controller folds the end of a job that another controller has just cancelled.  If it counted the job as done
     # by its own write, without the cancellation before it, it would tell users for ever that the dependents are
     # pending, and run them.
-    model = Model(7, knobs=OperatorSettings(group_size=4))
+    model = Model(7, operator_settings=OperatorSettings(group_size=4))
     model.checks()
     model.run(3)
     model.submit(submission("job-0", pieces=pieces, shape=shape, crew="free", cpus=1.0, hulls=["small"]))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -143,7 +143,7 @@
 
 
 def test_a_gang_that_needs_more_groups_than_a_transaction_may_change_runs():
-    model = Model(11, knobs=OperatorSettings(group_size=1))
+    model = Model(11, operator_settings=OperatorSettings(group_size=1))
     model.checks()
     model.run(2)
     model.submit(submission("job-0", shape="gang", pieces=12, cpus=3.0, crew="free", hulls=["small"], loaners=False))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -29,7 +29,7 @@
 
 def restart_all(machines: int, idle: int, seed: int = 1) -> Cost:
     """Fill a fleet with idle work, crash all controllers and submit an urgent gang; return the cost of placing it."""
-    model = Model(seed, hosts=HOSTS, knobs=OperatorSettings(group_size=GROUP_SIZE))
+    model = Model(seed, hosts=HOSTS, operator_settings=OperatorSettings(group_size=GROUP_SIZE))
     model.cloud.capacity = machines
     model._run_us = lambda key: 600 * SECOND  # type: ignore[method-assign]
     model.run(3)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -107,7 +107,7 @@
 def test_both_versions_serve_side_by_side_until_all_are_new(
     before, seed, jobs, stages, order, every_s, crashes, faults, following, fall_s
 ):
-    model = Model(seed, knobs=OperatorSettings(), following=following, before=before)
+    model = Model(seed, operator_settings=OperatorSettings(), following=following, before=before)
     begin(model, seed, jobs, 60)
     over_s = upgrade(model, order, every_s, crashes)
     # A long pause of a controller would bring in the new form while a controller of the old version still runs.
