--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -23,7 +23,7 @@
 from ashtray.placement.machine_groups import Machine
 from ashtray.placement.plan import Plan, Planner
 from ashtray.placement.records import MachineType
-from ashtray.placement.rules import Ask, Room
+from ashtray.placement.rules import MachineCapacity, PlacementRequest
 
 LARGE_PREMIUM = 0.2
 """A kind whose price exceeds the cheapest by more than this share is rented only when a job is about to be late."""
@@ -54,7 +54,7 @@
 class TaskSubset:
     """Tasks of a job that the forecast serves together."""
 
-    ask: Ask
+    request: PlacementRequest
     tasks: int
 
 
@@ -95,7 +95,9 @@
         if not jobs:
             self.needed = set()
             return {}
-        machines = future_machines(self.base.cluster_state, plan.rooms, wall_us, ready_us, self.job_timing.run_us)
+        machines = future_machines(
+            self.base.cluster_state, plan.capacities, wall_us, ready_us, self.job_timing.run_us
+        )
         forecast = Forecast(machines)
         demand: dict[MachineKind, int] = {}
         for job in jobs:
@@ -103,9 +105,9 @@
             if not tasks:
                 continue
             plan.count(job, tasks)
-            for subset in self._split_by_zone(plan.ask(job), tasks):
+            for subset in self._split_by_zone(plan.request_for(job), tasks):
                 self._serve(job, subset, forecast, demand)
-        self.needed = {machine.room.machine.name for machine in forecast.machines if machine.used}
+        self.needed = {machine.capacity.machine.name for machine in forecast.machines if machine.used}
         return demand
 
     def _add_pending(self, plan: Plan) -> dict[str, int]:
@@ -125,51 +127,51 @@
                 # Not counted, so the forecast calls for a replacement.  If the machine comes up, it is used, too.
                 hedges[kind] -= 1
                 continue
-            plan.rooms.append(self._empty_machine(name, kind))
+            plan.capacities.append(self._empty_machine(name, kind))
             wait_us = machine_type.boot_us if remaining_us is None else remaining_us
             ready_us[name] = self.kernel.wall_us + wait_us
         return ready_us
 
-    def _empty_machine(self, name: str, kind: MachineKind) -> Room:
+    def _empty_machine(self, name: str, kind: MachineKind) -> MachineCapacity:
         """Return the free resources of a machine that is not present yet: all of its type's."""
         spec = self.base.cluster_state.types[kind.type]
         machine = Machine(name, name, kind.type, kind.zone, {"address": "", "spot": kind.spot})
-        return Room(machine, spec, spec.cpus, spec.gpus, spec.memory_gb)
+        return MachineCapacity(machine, spec, spec.cpus, spec.gpus, spec.memory_gb)
 
-    def _split_by_zone(self, ask: Ask, tasks: int) -> list[TaskSubset]:
+    def _split_by_zone(self, request: PlacementRequest, tasks: int) -> list[TaskSubset]:
         """Split the tasks of a job with `spread` by zone; the tasks of any other job are one subset."""
         cluster = self.base.settings.cluster
-        zones = [zone for zone in cluster.zones if ask.spec.zone in (None, zone) and ask.zone in (None, zone)]
-        if not ask.spec.spread or len(zones) < 2:
-            return [TaskSubset(ask, tasks)]
+        zones = [zone for zone in cluster.zones if request.spec.zone in (None, zone) and request.zone in (None, zone)]
+        if not request.spec.spread or len(zones) < 2:
+            return [TaskSubset(request, tasks)]
         subsets = []
         for n, zone in enumerate(zones):
             even_share = -(-tasks // (len(zones) - n))
-            number = min(even_share, ask.zone_allows(zone))
+            number = min(even_share, request.zone_allows(zone))
             tasks -= number
-            subsets.append(TaskSubset(replace(ask, zone=zone), number))
+            subsets.append(TaskSubset(replace(request, zone=zone), number))
         return [subset for subset in subsets if subset.tasks > 0]
 
     def _serve(self, job: Job, subset: TaskSubset, forecast: Forecast, demand: dict[MachineKind, int]) -> None:
         """Place tasks in the forecast, and add the machines that they call for to `demand`."""
-        ask, remaining = subset.ask, subset.tasks
+        request, remaining = subset.request, subset.tasks
         run_us = self.job_timing.run_us(job)
-        thresholds = self._thresholds(job, ask)
+        thresholds = self._thresholds(job, request)
         while remaining > 0 and forecast.remaining_steps > 0:
-            start_us = forecast.earliest(ask)
+            start_us = forecast.earliest(request)
             kind = next((threshold.kind for threshold in thresholds if start_us > threshold.start_us), None)
             if kind is not None and sum(demand.values()) < MAX_DEMAND:
                 demand[kind] = demand.get(kind, 0) + 1
-                room = self._empty_machine(f"demand-{len(forecast.machines)}", kind)
+                capacity = self._empty_machine(f"demand-{len(forecast.machines)}", kind)
                 ready_us = self.kernel.wall_us + self.boot_times.expected_us(kind)
-                forecast.add(FutureMachine(room, ready_us, []), ask)
-                start_us = forecast.earliest(ask)
+                forecast.add(FutureMachine(capacity, ready_us, []), request)
+                start_us = forecast.earliest(request)
             if start_us >= NEVER_US:
                 break
-            remaining -= forecast.take(ask, remaining, run_us)
-        forecast.finish_job(ask)
+            remaining -= forecast.take(request, remaining, run_us)
+        forecast.finish_job(request)
 
-    def _thresholds(self, job: Job, ask: Ask) -> list[Threshold]:
+    def _thresholds(self, job: Job, request: PlacementRequest) -> list[Threshold]:
         """Return the kinds that may be rented for a job with their thresholds, the cheapest first.
 
         If all tasks of the job must run in one zone and none is placed yet, this chooses the zone.
@@ -179,14 +181,14 @@
         candidates = [candidate for candidate in suitable if not self.backoff.is_blocked(candidate.kind)]
         if job.spec.job_class in self.job_timing.wait_objectives_s:
             self.cheapest_for_urgent[job.spec.job_class] = cheapest.kind
-        if job.spec.same_zone and ask.zone is None and candidates:
-            ask.zone = candidates[0].kind.zone
+        if job.spec.same_zone and request.zone is None and candidates:
+            request.zone = candidates[0].kind.zone
         patience_s = self.job_timing.patience_s(job)
         latest_us = self.job_timing.latest_start_us(job)
         return [
             self._threshold(candidate, cheapest.price, patience_s, latest_us)
             for candidate in candidates
-            if ask.zone in (None, candidate.kind.zone) and ask.zone_allows(candidate.kind.zone) > 0
+            if request.zone in (None, candidate.kind.zone) and request.zone_allows(candidate.kind.zone) > 0
         ]
 
     def _candidates(self, spec: JobSpec) -> list[Candidate]:
--- a/ashtray/fleet/forecast.py
+++ b/ashtray/fleet/forecast.py
@@ -11,7 +11,7 @@
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Allocation
-from ashtray.placement.rules import Ask, Room
+from ashtray.placement.rules import MachineCapacity, PlacementRequest
 
 NEVER_US = 1 << 62
 """The start time of a task that no machine of the forecast can run."""
@@ -35,10 +35,10 @@
 class FutureMachine:
     """A machine with its free resources, the time from which they are free, and the releases after that."""
 
-    __slots__ = ("room", "from_us", "releases", "used")
+    __slots__ = ("capacity", "from_us", "releases", "used")
 
-    def __init__(self, room: Room, from_us: int, releases: list[Release]) -> None:
-        self.room = room
+    def __init__(self, capacity: MachineCapacity, from_us: int, releases: list[Release]) -> None:
+        self.capacity = capacity
         self.from_us = from_us
         """The time of day from which tasks can start on the machine."""
         self.releases = sorted(releases)
@@ -47,9 +47,9 @@
 
     def earliest_us(self, spec: JobSpec) -> int:
         """Return the time of day from which a task of the job fits, or `NEVER_US`."""
-        if self.room.fits(spec):
+        if self.capacity.fits(spec):
             return self.from_us
-        cpus, gpus, memory_gb = self.room.cpus, self.room.gpus, self.room.memory_gb
+        cpus, gpus, memory_gb = self.capacity.cpus, self.capacity.gpus, self.capacity.memory_gb
         for release in self.releases:
             cpus += release.cpus
             gpus += release.gpus
@@ -64,11 +64,11 @@
         self.from_us = max(self.from_us, at_us)
         while self.releases and self.releases[0].at_us <= at_us:
             release = self.releases.pop(0)
-            self.room.cpus += release.cpus
-            self.room.gpus += release.gpus
-            self.room.memory_gb += release.memory_gb
-        count = min(most, self.room.fits(spec))
-        self.room.take(spec, count)
+            self.capacity.cpus += release.cpus
+            self.capacity.gpus += release.gpus
+            self.capacity.memory_gb += release.memory_gb
+        count = min(most, self.capacity.fits(spec))
+        self.capacity.take(spec, count)
         if count:
             self.used = True
             freed = Release(at_us + run_us, count * spec.cpus, count * spec.gpus, count * spec.memory_gb)
@@ -92,21 +92,21 @@
 
 def future_machines(
     cluster_state: ClusterState,
-    rooms: Iterable[Room],
+    capacities: Iterable[MachineCapacity],
     wall_us: int,
     ready_us: dict[str, int],
     run_us: Callable[[Job], int],
 ) -> list[FutureMachine]:
     """Return the machines of a forecast.  `ready_us`: when each pending machine is expected to be up."""
     found = []
-    for room in rooms:
+    for capacity in capacities:
         releases = []
-        for allocation in room.machine.holds:
+        for allocation in capacity.machine.holds:
             number = len(allocation.tasks)
             record = allocation.record
             at_us = allocation_ends_us(cluster_state, allocation, wall_us, run_us)
             releases.append(Release(at_us, number * record.cpus, number * record.gpus, number * record.memory_gb))
-        found.append(FutureMachine(room, ready_us.get(room.machine.name, wall_us), releases))
+        found.append(FutureMachine(capacity, ready_us.get(capacity.machine.name, wall_us), releases))
     return found
 
 
@@ -120,7 +120,7 @@
 
     def allows(self, future: FutureMachine) -> bool:
         """Return whether a machine has an allowed type and zone, and is on demand if it must be."""
-        machine = future.room.machine
+        machine = future.capacity.machine
         return (
             (not self.types or machine.type in self.types)
             and self.zone in (None, machine.zone)
@@ -149,9 +149,9 @@
         self._heaps: dict[MachineFilter, list[HeapEntry]] = {}
         self._gang_entries: list[HeapEntry] = []
 
-    def _heap(self, ask: Ask) -> list[HeapEntry]:
-        spec = ask.spec
-        machine_filter = MachineFilter(spec.job_class, tuple(spec.types or ()), ask.zone or spec.zone, spec.spot)
+    def _heap(self, request: PlacementRequest) -> list[HeapEntry]:
+        spec = request.spec
+        machine_filter = MachineFilter(spec.job_class, tuple(spec.types or ()), request.zone or spec.zone, spec.spot)
         heap = self._heaps.get(machine_filter)
         if heap is None:
             heap = self._heaps[machine_filter] = list(self._entries(machine_filter, spec))
@@ -160,19 +160,19 @@
 
     def _entries(self, machine_filter: MachineFilter, spec: JobSpec) -> Iterator[HeapEntry]:
         for number, machine in enumerate(self.machines):
-            fits = machine.room.type.fits(spec.cpus, spec.gpus, spec.memory_gb) > 0
+            fits = machine.capacity.type.fits(spec.cpus, spec.gpus, spec.memory_gb) > 0
             if not fits or not machine_filter.allows(machine):
                 continue
             at_us = machine.earliest_us(spec)
             if at_us < NEVER_US:
                 yield HeapEntry(at_us, number)
 
-    def earliest(self, ask: Ask) -> int:
+    def earliest(self, request: PlacementRequest) -> int:
         """Return the earliest time of day at which the next task of a job can start, or `NEVER_US`."""
-        heap = self._heap(ask)
+        heap = self._heap(request)
         while heap:
             entry = heap[0]
-            at_us = self.machines[entry.machine_index].earliest_us(ask.spec)
+            at_us = self.machines[entry.machine_index].earliest_us(request.spec)
             if at_us <= entry.at_us:
                 return entry.at_us
             heapq.heappop(heap)
@@ -180,38 +180,38 @@
                 heapq.heappush(heap, HeapEntry(at_us, entry.machine_index))
         return NEVER_US
 
-    def take(self, ask: Ask, most: int, run_us: int) -> int:
+    def take(self, request: PlacementRequest, most: int, run_us: int) -> int:
         """Place up to `most` tasks on the machine that `earliest` has found; return how many fit."""
         self.remaining_steps -= 1
-        heap = self._heap(ask)
+        heap = self._heap(request)
         entry = heapq.heappop(heap)
         machine = self.machines[entry.machine_index]
-        count = machine.take(ask.spec, entry.at_us, most, run_us)
-        next_us = machine.earliest_us(ask.spec)
+        count = machine.take(request.spec, entry.at_us, most, run_us)
+        next_us = machine.earliest_us(request.spec)
         if next_us < NEVER_US and (count or next_us > entry.at_us):
             next_entry = HeapEntry(next_us, entry.machine_index)
-            if ask.spec.kind == "gang":
+            if request.spec.kind == "gang":
                 self._gang_entries.append(next_entry)
             else:
                 heapq.heappush(heap, next_entry)
         return count
 
-    def finish_job(self, ask: Ask) -> None:
+    def finish_job(self, request: PlacementRequest) -> None:
         """End the placement of a job: other jobs may use the machines of its gang after it.
 
         The gang itself must not, for its tasks run at the same time.  Otherwise the forecast runs one half of the
         gang after the other on one machine, and the gang waits for ever for a second machine.
         """
-        heap = self._heap(ask)
+        heap = self._heap(request)
         for entry in self._gang_entries:
             heapq.heappush(heap, entry)
         self._gang_entries.clear()
 
-    def add(self, machine: FutureMachine, ask: Ask) -> None:
+    def add(self, machine: FutureMachine, request: PlacementRequest) -> None:
         """Add a machine that is called for a job; other jobs with suitable restrictions may use it, too."""
         number = len(self.machines)
         self.machines.append(machine)
-        self._heap(ask)
+        self._heap(request)
         for machine_filter, heap in self._heaps.items():
             if machine_filter.allows(machine):
                 heapq.heappush(heap, HeapEntry(machine.from_us, number))
--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -12,7 +12,7 @@
 from ashtray.placement.plan import Plan, back_off_us
 from ashtray.placement.queue_order import Standing
 from ashtray.placement.records import AMOUNT_TOLERANCE
-from ashtray.placement.rules import PREFERENCES, VALIDATORS, Room
+from ashtray.placement.rules import PREFERENCES, VALIDATORS, MachineCapacity
 from ashtray.teams.guarantees import leaving
 from ashtray.teams.limits import tasks_within
 
@@ -50,16 +50,17 @@
             "p90_s": run.p90_us / SECOND_US,
             "seen": round(run.weight, 1),
         }
-    ask = plan.ask(job)
-    rooms = {room.machine.name: room for room in plan.rooms}
+    request = plan.request_for(job)
+    capacities = {capacity.machine.name: capacity for capacity in plan.capacities}
     for (name, _), allocation in sorted(plan.cluster_state.allocations.get(job.id, {}).items()):
-        room = rooms.get(name)
+        capacity = capacities.get(name)
         place: dict[str, Any] = {"machine": name, "attempt": allocation.attempt, "tasks": allocation.record.tasks}
-        if room is None:
+        if capacity is None:
             place["note"] = "the machine is being returned"
         else:
             place["rules"] = {
-                n: PREFERENCES[n].score(room, ask, plan.operator_settings) for n in plan.operator_settings.rules
+                n: PREFERENCES[n].score(capacity, request, plan.operator_settings)
+                for n in plan.operator_settings.rules
             }
         if allocation.record.stop_us >= 0:
             place["note"] = "being stopped"
@@ -72,7 +73,7 @@
         return answer
     left = [n for n in range(spec.tasks) if n not in placed and n not in finished]
     if left and not (spec.kind == "gang" and placed):
-        answer["waiting"] = _waiting_reasons(plan, job, len(left), wall_us, list(rooms.values()))
+        answer["waiting"] = _waiting_reasons(plan, job, len(left), wall_us, list(capacities.values()))
         if served is not None:
             why = f"it may go before its turn: {served:.0%} of its class was served"
             answer["waiting"].insert(1, f"{why}, so jobs that have missed all their times wait for it")
@@ -88,7 +89,7 @@
     return answer
 
 
-def _waiting_reasons(plan: Plan, job: Job, left: int, wall_us: int, rooms: list[Room]) -> list[str]:
+def _waiting_reasons(plan: Plan, job: Job, left: int, wall_us: int, capacities: list[MachineCapacity]) -> list[str]:
     spec = job.spec
     reasons = [f"{left} tasks wait for a place"]
     pause_us = back_off_us(job) - (wall_us - job.record.error_us)
@@ -101,13 +102,13 @@
             reasons.append(f"team {team.name} is at its limit")
             reasons += _limit_reasons(plan, team, spec)
         reasons += _guarantee_reasons(plan, team)
-    ask = plan.ask(job)
+    request = plan.request_for(job)
     blocked: Counter[str] = Counter()
-    for room in rooms:
-        failed_rule = next((rule for rule in VALIDATORS if not rule.allows(room, ask)), None)
+    for capacity in capacities:
+        failed_rule = next((rule for rule in VALIDATORS if not rule.allows(capacity, request)), None)
         blocked[failed_rule.reason if failed_rule else "has room, and jobs before it may take it"] += 1
     reasons += [f"{number} machines: {reason}" for reason, number in blocked.most_common()]
-    if not rooms:
+    if not capacities:
         reasons.append("no machines are up")
     return reasons
 
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -201,7 +201,7 @@
         base = self.base
         round_began_us = base.kernel.now_us
         batch = Batch(base.cluster_state, base.limits)
-        freed = {id(room) for room in plan.freed}
+        freed = {id(capacity) for capacity in plan.freed}
         urgent_since_us: dict[str, int] = {}
         peer_usage: dict[tuple[str, str], Share] = {}
         for turn, job in enumerate(jobs):
@@ -242,13 +242,13 @@
                 if starts_first:
                     # It goes first only so that it begins, so one machine will do; one task costs as many writes as
                     # several on that machine.
-                    for room, n in choices[1:]:
-                        plan.give_back(job, room, n)
+                    for capacity, n in choices[1:]:
+                        plan.give_back(job, capacity, n)
                     del choices[1:]
                 if choices:
                     if not mine and urgent:
                         urgent_since_us.setdefault(job.id, self._urgent_since_us.get(job.id, round_began_us))
-                        if any(id(room) in freed for room, _ in choices):
+                        if any(id(capacity) in freed for capacity, _ in choices):
                             self.worker_manager.hurry()
                     break
                 if not job.suspect and ((job.spec.kind == "gang" and urgent) or job.id in guaranteed):
@@ -322,14 +322,14 @@
         """Return the choices in groups that are written anyway or take `MIN_TASKS_PER_WRITE` tasks; give back the
         rest."""
         places: Counter[str] = Counter()
-        for room, n in choices:
-            places[room.machine.group] += n
+        for capacity, n in choices:
+            places[capacity.machine.group] += n
         kept: list[Choice] = []
-        for room, n in choices:
-            if room.machine.group in plan.due_groups or places[room.machine.group] >= MIN_TASKS_PER_WRITE:
-                kept.append((room, n))
+        for capacity, n in choices:
+            if capacity.machine.group in plan.due_groups or places[capacity.machine.group] >= MIN_TASKS_PER_WRITE:
+                kept.append((capacity, n))
             else:
-                plan.give_back(job, room, n)
+                plan.give_back(job, capacity, n)
         return kept
 
     def _allowed(self, job: Job, batch: Batch) -> int:
@@ -357,12 +357,12 @@
             return choices
         self._note_short(ShortJob(job, count, turn))
         cut: list[Choice] = []
-        for room, n in choices:
+        for capacity, n in choices:
             kept = 0 if job.spec.kind == "gang" else min(n, allowed)
             if kept:
-                cut.append((room, kept))
+                cut.append((capacity, kept))
             if n > kept:
-                plan.give_back(job, room, n - kept)
+                plan.give_back(job, capacity, n - kept)
             allowed -= kept
         return cut
 
@@ -442,7 +442,7 @@
         spec = job.spec
         # For a job with `spread`, the result depends on where its own tasks are; a job with `same_zone` is bound to
         # its zone.
-        alone = (spec.spread and job.id, plan.ask(job).zone)
+        alone = (spec.spread and job.id, plan.request_for(job).zone)
         spared = self.planner.floor.spared(job)
         alike = (*demand(spec), job.priority, spec.team, job.id in guaranteed, alone, spared)
         # If no machine will do, none of those that have the image in time will, either.
@@ -535,7 +535,7 @@
             placed = job.portion + item.count
             portion = placed if job.spec.kind == "gang" and placed < job.spec.tasks else 0
             txn.guard(LIVE + job.id, job.version).put(LIVE + job.id, job.value(attempt=number, portion=portion))
-            where = ", ".join(f"{n} on {room.machine.name}" for room, n in item.choices)
+            where = ", ".join(f"{n} on {capacity.machine.name}" for capacity, n in item.choices)
             lines.append(f"{job.id} attempt {number}: {where}")
         if not lines:
             return None
@@ -565,7 +565,7 @@
 
     def groups(self) -> set[str]:
         """Return the keys of the groups in which this item places tasks."""
-        return {room.machine.group for room, _ in self.choices}
+        return {capacity.machine.group for capacity, _ in self.choices}
 
 
 def split_placement(
@@ -575,15 +575,15 @@
     cut: list[list[Choice]] = [[]]
     groups: set[str] = set()
     size = 0
-    for room, n in choices:
-        group = room.machine.group
+    for capacity, n in choices:
+        group = capacity.machine.group
         more = ALLOCATION_BYTES + (0 if group in groups else cluster_state.groups[group].size)
         if cut[-1] and (len(groups | {group}) > limits.ops - 1 or size + more > limits.txn_bytes):
             cut.append([])
             groups, size, more = set(), 0, ALLOCATION_BYTES + cluster_state.groups[group].size
         groups.add(group)
         size += more
-        cut[-1].append((room, n))
+        cut[-1].append((capacity, n))
     items = []
     done = 0
     for part in cut:
@@ -676,12 +676,12 @@
             zones[cluster_state.machines[name].zone] = zones.get(cluster_state.machines[name].zone, 0) + len(
                 allocation.tasks
             )
-        for room, n in item.choices:
-            machine = cluster_state.machines.get(room.machine.name)
+        for capacity, n in item.choices:
+            machine = cluster_state.machines.get(capacity.machine.name)
             if machine is None or machine.record.retiring:
                 return False
             cpus, gpus, memory = self._added.get(machine.name, (0.0, 0.0, 0.0))
-            kind = room.type
+            kind = capacity.type
             if (
                 machine.cpus + cpus + n * spec.cpus > kind.cpus + AMOUNT_TOLERANCE
                 or machine.gpus + gpus + n * spec.gpus > kind.gpus + AMOUNT_TOLERANCE
@@ -700,8 +700,8 @@
         """
         spec = job.spec
         left = list(item.tasks)
-        for room, n in item.choices:
-            machine = self.cluster_state.machines[room.machine.name]
+        for capacity, n in item.choices:
+            machine = self.cluster_state.machines[capacity.machine.name]
             edit = self.edits.get(machine.group)
             if edit is None:
                 group = self.cluster_state.groups[machine.group]
@@ -721,7 +721,7 @@
                 )
             )
             del left[:n]
-            record.images = cached(record.images, spec.image, spec.image_gb, room.type.cache_gb, self.image_bytes)
+            record.images = cached(record.images, spec.image, spec.image_gb, capacity.type.cache_gb, self.image_bytes)
             cpus, gpus, memory = self._added.get(machine.name, (0.0, 0.0, 0.0))
             self._added[machine.name] = (cpus + n * spec.cpus, gpus + n * spec.gpus, memory + n * spec.memory_gb)
         if self.grants.limited(spec.team):
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -18,7 +18,7 @@
 from ashtray.placement.prospects import Prospects
 from ashtray.placement.queue_order import StatedTimes
 from ashtray.placement.records import AMOUNT_TOLERANCE
-from ashtray.placement.rules import Ask, Room, rank
+from ashtray.placement.rules import MachineCapacity, PlacementRequest, rank
 from ashtray.store.client import Limits
 from ashtray.teams.guarantees import Excess
 from ashtray.teams.limits import tasks_within, within_guarantee
@@ -36,7 +36,7 @@
 """The maximum number of machines of a shared ranking that one task considers."""
 Demand = tuple[Any, ...]
 """What jobs that are alike have in common, as a key."""
-Choice = tuple[Room, int]
+Choice = tuple[MachineCapacity, int]
 """A machine and the number of tasks placed on it."""
 
 
@@ -92,9 +92,9 @@
     return (spec.cpus, spec.gpus, spec.memory_gb, *places)
 
 
-def _allocation_bytes(base: int, spec: JobSpec, room: Room, count: int) -> int:
+def _allocation_bytes(base: int, spec: JobSpec, capacity: MachineCapacity, count: int) -> int:
     """Estimate the bytes that an allocation adds to a group record; task numbers are mostly a few runs."""
-    image = 0 if spec.image in room.machine.images else len(spec.image) + IMAGE_ENTRY_BYTES
+    image = 0 if spec.image in capacity.machine.images else len(spec.image) + IMAGE_ENTRY_BYTES
     return base + image + len(str(spec.tasks)) * min(count, USUAL_RUNS)
 
 
@@ -131,7 +131,7 @@
         self.teams = teams
         self.operator_settings = operator_settings
         self.rng = rng
-        self.rooms: list[Room] = []
+        self.capacities: list[MachineCapacity] = []
         kinds = cluster_state.types
         self.lean = limits.lean
         self._bytes_left = {
@@ -149,15 +149,15 @@
                 continue
             blame = cluster_state.blame(machine) if record.failed else 0
             if machine.group in full:
-                self.rooms.append(Room(machine, kind, -1.0, -1.0, -1.0, blame))
+                self.capacities.append(MachineCapacity(machine, kind, -1.0, -1.0, -1.0, blame))
                 continue
             cpus, gpus, memory_gb = (
                 kind.cpus - machine.cpus,
                 kind.gpus - machine.gpus,
                 kind.memory_gb - machine.memory_gb,
             )
-            self.rooms.append(Room(machine, kind, cpus, gpus, memory_gb, blame))
-        self.freed: list[Room] = []
+            self.capacities.append(MachineCapacity(machine, kind, cpus, gpus, memory_gb, blame))
+        self.freed: list[MachineCapacity] = []
         """Capacity that reports have freed, but no commit has yet: only this controller knows of it."""
         self.min_without_victims: dict[Demand, int] = {}
         """By kind of job, the smallest number of tasks for which stopping others does not free enough capacity."""
@@ -165,9 +165,9 @@
         """Whether writes to the state service are scarce."""
         self.due_groups: set[str] = set()
         """Groups whose records are written anyway, so that a placement there costs no additional write."""
-        self._ranked: dict[Demand, list[Room]] = {}
+        self._ranked: dict[Demand, list[MachineCapacity]] = {}
         """For single tasks of about the same size, the remaining machines in order, the best last."""
-        self.on_demand = [room for room in self.rooms if not room.machine.record.spot]
+        self.on_demand = [capacity for capacity in self.capacities if not capacity.machine.record.spot]
         self.usage = {name: cluster_state.team_usage(name) for name in teams}
         self.scarcity = self._scarcity()
         waiting_jobs = (cluster_state.jobs[job_id] for job_id in cluster_state.waiting())
@@ -192,19 +192,19 @@
             machine = self.cluster_state.machines[name]
             kind = self.cluster_state.types.get(machine.type)
             if kind is not None and not machine.record.retiring:
-                self.freed.append(Room(machine, kind, cpus, gpus, memory))
+                self.freed.append(MachineCapacity(machine, kind, cpus, gpus, memory))
 
     def _scarcity(self) -> tuple[float, float, float]:
         """Return the weights of CPUs, GPUs and memory: the larger the part in use, the larger the weight."""
         whole_c = whole_g = whole_m = free_c = free_g = free_m = 0.0
-        for room in self.rooms:
-            kind = room.type
+        for capacity in self.capacities:
+            kind = capacity.type
             whole_c += kind.cpus
             whole_g += kind.gpus
             whole_m += kind.memory_gb
-            free_c += room.cpus
-            free_g += room.gpus
-            free_m += room.memory_gb
+            free_c += capacity.cpus
+            free_g += capacity.gpus
+            free_m += capacity.memory_gb
         whole, free = (whole_c, whole_g, whole_m), (free_c, free_g, free_m)
         c, g, m = (
             weight * (1.1 - f / w if w else 1.0)
@@ -231,23 +231,25 @@
     def _base_bytes(self, job: Job) -> int:
         return COMPACT_ALLOCATION_BYTES if self.lean else ALLOCATION_BYTES + len(job.id) + len(job.spec.team)
 
-    def ask(self, job: Job) -> Ask:
+    def request_for(self, job: Job) -> PlacementRequest:
         """Return the request for a job's tasks that the rules evaluate."""
         spec = job.spec
-        ask = Ask(spec, scarcity=self.scarcity, spare_gpus=self._must_leave_cpus(job), priority=job.priority)
-        ask.allocation_bytes = self._base_bytes(job)
-        ask.failed_on = frozenset(job.record.failed_on)
+        request = PlacementRequest(
+            spec, scarcity=self.scarcity, spare_gpus=self._must_leave_cpus(job), priority=job.priority
+        )
+        request.allocation_bytes = self._base_bytes(job)
+        request.failed_on = frozenset(job.record.failed_on)
         job_allocations = self.cluster_state.allocations.get(job.id, {})
         if spec.spread:
-            ask.spread_most = (spec.tasks + 1) // 2
-            ask.zone_room = {}
+            request.spread_most = (spec.tasks + 1) // 2
+            request.zone_limits = {}
         for (name, _), allocation in job_allocations.items():
             zone = self.cluster_state.machines[name].zone
             if spec.same_zone:
-                ask.zone = zone
-            if ask.zone_room is not None:
-                ask.zone_room[zone] = ask.zone_room.get(zone, ask.spread_most) - len(allocation.tasks)
-        return ask
+                request.zone = zone
+            if request.zone_limits is not None:
+                request.zone_limits[zone] = request.zone_limits.get(zone, request.spread_most) - len(allocation.tasks)
+        return request
 
     def _must_leave_cpus(self, job: Job) -> bool:
         """Return whether a job must leave CPUs for free GPUs, because tasks at least as urgent wait for GPUs."""
@@ -255,7 +257,7 @@
 
     def zones(self) -> list[str]:
         """Return the sorted names of the zones that have machines."""
-        return sorted({room.machine.zone for room in self.rooms})
+        return sorted({capacity.machine.zone for capacity in self.capacities})
 
     def place(
         self,
@@ -275,10 +277,10 @@
         gang = spec.kind == "gang"
         if gang and not shared and not self._team_allows(job, count):
             return []
-        ask = self.ask(job)
-        ask.image_within_s = image_within_s
+        request = self.request_for(job)
+        request.image_within_s = image_within_s
         # A job that already has a task placed and must stay in that zone tells nothing about the other zones.
-        request_key = (*demand(spec), image_within_s and spec.image, freed, self._must_leave_cpus(job), ask.zone)
+        request_key = (*demand(spec), image_within_s and spec.image, freed, self._must_leave_cpus(job), request.zone)
         most = self._max_placeable.get(request_key, count)
         if most < (count if gang else 1):
             return []
@@ -288,7 +290,7 @@
         sizes = self._unplaceable_sizes.setdefault(request_key[3:], [])
         if any(c <= spec.cpus and g <= spec.gpus and m <= spec.memory_gb for c, g, m in sizes):
             return []
-        choices = self._choose_in_zone(ask, count, pick_chance, self.freed if freed else [])
+        choices = self._choose_in_zone(request, count, pick_chance, self.freed if freed else [])
         total = sum(n for _, n in choices)
         if total < count and not spec.spread:
             self._max_placeable[request_key] = total if gang else 0
@@ -299,12 +301,14 @@
         self.take(job, choices)
         return choices
 
-    def _choose_in_zone(self, ask: Ask, count: int, pick_chance: float, freed: list[Room]) -> list[Choice]:
-        if not ask.spec.same_zone or ask.zone is not None or len(self.zones()) < 2:
-            return self._choose(ask, count, pick_chance, freed=freed)
+    def _choose_in_zone(
+        self, request: PlacementRequest, count: int, pick_chance: float, freed: list[MachineCapacity]
+    ) -> list[Choice]:
+        if not request.spec.same_zone or request.zone is not None or len(self.zones()) < 2:
+            return self._choose(request, count, pick_chance, freed=freed)
         found = []
         for zone in self.zones():
-            found.append(self._choose(replace(ask, zone=zone), count, pick_chance, freed=freed))
+            found.append(self._choose(replace(request, zone=zone), count, pick_chance, freed=freed))
         return max(found, key=lambda choices: sum(n for _, n in choices))
 
     def _team_allows(self, job: Job, count: int) -> bool:
@@ -329,25 +333,27 @@
         request_key = (*demand(spec), image_within_s and spec.image, self._must_leave_cpus(job), alone)
         if count >= self._min_unreservable.get(request_key, count + 1):
             return False
-        originals: dict[int, Room] = {}
-        rooms = []
-        for room in self.rooms:
-            extra = self._stopping_capacity.get(room.machine.name)
+        originals: dict[int, MachineCapacity] = {}
+        capacities = []
+        for capacity in self.capacities:
+            extra = self._stopping_capacity.get(capacity.machine.name)
             if extra is not None:
                 c, g, m = extra
-                original, room = (
-                    room,
-                    replace(room, cpus=room.cpus + c, gpus=room.gpus + g, memory_gb=room.memory_gb + m),
+                original, capacity = (
+                    capacity,
+                    replace(
+                        capacity, cpus=capacity.cpus + c, gpus=capacity.gpus + g, memory_gb=capacity.memory_gb + m
+                    ),
                 )
-                originals[id(room)] = original
-            rooms.append(room)
-        ask = self.ask(job)
-        ask.image_within_s = image_within_s
-        choices = self._choose(ask, count, 0.0, rooms)
+                originals[id(capacity)] = original
+            capacities.append(capacity)
+        request = self.request_for(job)
+        request.image_within_s = image_within_s
+        choices = self._choose(request, count, 0.0, capacities)
         if sum(n for _, n in choices) < count:
             self._min_unreservable[request_key] = count
             return False
-        self.take(job, [(originals.get(id(room), room), n) for room, n in choices])
+        self.take(job, [(originals.get(id(capacity), capacity), n) for capacity, n in choices])
         return True
 
     def excess(self) -> Excess:
@@ -368,29 +374,34 @@
         return found
 
     def _choose(
-        self, ask: Ask, count: int, pick_chance: float, among: list[Room] | None = None, freed: Sequence[Room] = ()
+        self,
+        request: PlacementRequest,
+        count: int,
+        pick_chance: float,
+        among: list[MachineCapacity] | None = None,
+        freed: Sequence[MachineCapacity] = (),
     ) -> list[Choice]:
         """Choose machines for up to `count` tasks: the best ones, or sometimes a random one of the best few.
 
         `pick_chance` is the probability of a random choice.  Placing one of a job's tasks does not change how the
         remaining machines rank, so they are ranked once.
         """
-        spec = ask.spec
-        zone_room = dict(ask.zone_room) if ask.zone_room is not None else None
-        request = replace(ask, zone_room=zone_room)
+        spec = request.spec
+        zone_limits = dict(request.zone_limits) if request.zone_limits is not None else None
+        current_request = replace(request, zone_limits=zone_limits)
         cpus, gpus, memory = (
             spec.cpus - AMOUNT_TOLERANCE,
             spec.gpus - AMOUNT_TOLERANCE,
             spec.memory_gb - AMOUNT_TOLERANCE,
         )
-        ranking_key = self._ranking_key(ask, count) if among is None else None
+        ranking_key = self._ranking_key(request, count) if among is None else None
         ranked = self._ranked.get(ranking_key) if ranking_key is not None else None
         if ranked is None:
-            candidates = among if among is not None else [*(self.rooms if spec.spot else self.on_demand), *freed]
-            rooms = [r for r in candidates if r.cpus >= cpus and r.gpus >= gpus and r.memory_gb >= memory]
-            self.visits += len(rooms)
-            request.due_groups, request.writes_scarce = self.due_groups, self.writes_scarce
-            ranked = rank(rooms, request, count, self.operator_settings, self.rng)
+            candidates = among if among is not None else [*(self.capacities if spec.spot else self.on_demand), *freed]
+            capacities = [r for r in candidates if r.cpus >= cpus and r.gpus >= gpus and r.memory_gb >= memory]
+            self.visits += len(capacities)
+            current_request.due_groups, current_request.writes_scarce = self.due_groups, self.writes_scarce
+            ranked = rank(capacities, current_request, count, self.operator_settings, self.rng)
             ranked.reverse()
             if ranking_key is not None:
                 self._ranked[ranking_key] = ranked
@@ -406,35 +417,35 @@
             pick = 0
             if pick_chance > 0 and self.rng.random() < pick_chance:
                 pick = self.rng.randrange(min(self.operator_settings.top, len(ranked)))
-            room = ranked.pop(-1 - pick)
-            zone = room.machine.zone
-            n = min(count, room.fits(spec), request.zone_allows(zone))
-            if ask.spare_gpus and room.type.gpus > 0:
-                spare = room.cpus - room.gpus * room.type.cpus / room.type.gpus
+            capacity = ranked.pop(-1 - pick)
+            zone = capacity.machine.zone
+            n = min(count, capacity.fits(spec), current_request.zone_allows(zone))
+            if request.spare_gpus and capacity.type.gpus > 0:
+                spare = capacity.cpus - capacity.gpus * capacity.type.cpus / capacity.type.gpus
                 n = min(n, int((spare + AMOUNT_TOLERANCE) // spec.cpus)) if spec.cpus > 0 else n
-            if n <= 0 or request.zone not in (None, zone):
+            if n <= 0 or current_request.zone not in (None, zone):
                 continue
-            group = room.machine.group
-            more = spent.get(group, 0.0) + _allocation_bytes(ask.allocation_bytes, spec, room, n)
+            group = capacity.machine.group
+            more = spent.get(group, 0.0) + _allocation_bytes(request.allocation_bytes, spec, capacity, n)
             if among is None and more > self._bytes_left.get(group, more):
                 # The group's record cannot take another allocation.
                 continue
             spent[group] = more
-            choices.append((room, n))
+            choices.append((capacity, n))
             count -= n
             if spec.same_zone:
-                request.zone = zone
-            if request.zone_room is not None:
-                request.zone_room[zone] = request.zone_allows(zone) - n
+                current_request.zone = zone
+            if current_request.zone_limits is not None:
+                current_request.zone_limits[zone] = current_request.zone_allows(zone) - n
         return choices
 
-    def _ranking_key(self, ask: Ask, count: int) -> Demand | None:
+    def _ranking_key(self, request: PlacementRequest, count: int) -> Demand | None:
         """Return a key for single tasks that may share a ranking; None for any other request.
 
         Some users submit hundreds of small jobs, and ranking the whole fleet for each would use up the processor.
         """
-        spec = ask.spec
-        if count != 1 or spec.tasks != 1 or spec.spread or ask.zone is not None or ask.failed_on:
+        spec = request.spec
+        if count != 1 or spec.tasks != 1 or spec.spread or request.zone is not None or request.failed_on:
             return None
         size = tuple(int(math.log2(x)) if x > 0 else None for x in (spec.cpus, spec.memory_gb))
         return (
@@ -444,23 +455,23 @@
             spec.zone,
             spec.spot,
             tuple(spec.types or ()),
-            ask.image_within_s,
-            ask.spare_gpus,
-            ask.priority <= 1,
+            request.image_within_s,
+            request.spare_gpus,
+            request.priority <= 1,
         )
 
     def take(self, job: Job, choices: Iterable[Choice]) -> None:
         """Take the chosen capacity from the machines and count the tasks against the team's limit."""
         base = self._base_bytes(job)
-        for room, n in choices:
-            room.take(job.spec, n)
-            if room.machine.group in self._bytes_left:
-                self._bytes_left[room.machine.group] -= _allocation_bytes(base, job.spec, room, n)
+        for capacity, n in choices:
+            capacity.take(job.spec, n)
+            if capacity.machine.group in self._bytes_left:
+                self._bytes_left[capacity.machine.group] -= _allocation_bytes(base, job.spec, capacity, n)
         self.count(job, sum(n for _, n in choices))
 
-    def give_back(self, job: Job, room: Room, count: int) -> None:
+    def give_back(self, job: Job, capacity: MachineCapacity, count: int) -> None:
         """Return the capacity of a choice that is not used."""
-        room.take(job.spec, -count)
+        capacity.take(job.spec, -count)
         self.count(job, -count)
 
     def count(self, job: Job, total: int) -> None:
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -14,7 +14,7 @@
 from ashtray.placement.group_edit import GroupEdit
 from ashtray.placement.machine_groups import Allocation
 from ashtray.placement.plan import Plan
-from ashtray.placement.rules import VALIDATORS, Ask, Room
+from ashtray.placement.rules import VALIDATORS, MachineCapacity, PlacementRequest
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn
 from ashtray.teams.guarantees import Amounts, Excess, amounts, claim, plus
@@ -107,7 +107,7 @@
 
     cost: float
     """The work that is lost by stopping them, in CPU microseconds."""
-    room: Room
+    capacity: MachineCapacity
     stopped: list[tuple[Allocation, int]]
     """The tasks to stop, each with its allocation."""
 
@@ -116,42 +116,44 @@
     plan: Plan, job: Job, count: int, rules: PreemptionRules, wall_us: int, image_within_s: float | None
 ) -> Victims:
     """Return the cheapest tasks whose end frees capacity for all `count` tasks of a job; empty if there are none."""
-    ask = plan.ask(job)
-    ask.image_within_s = image_within_s
-    offers = make_offers(plan, ask, count, rules, wall_us)
+    request = plan.request_for(job)
+    request.image_within_s = image_within_s
+    offers = make_offers(plan, request, count, rules, wall_us)
     # A machine's later offers require its earlier ones.  The sort is stable and costs mostly rise on a machine, so
     # their order is mostly kept.
     offers.sort(key=lambda offer: offer.cost)
-    if job.spec.same_zone and ask.zone is None:
-        zones = sorted({offer.room.machine.zone for offer in offers})
-        found = [choose_offers(offers, replace(ask, zone=zone), count, rules) for zone in zones]
+    if job.spec.same_zone and request.zone is None:
+        zones = sorted({offer.capacity.machine.zone for offer in offers})
+        found = [choose_offers(offers, replace(request, zone=zone), count, rules) for zone in zones]
     else:
-        found = [choose_offers(offers, ask, count, rules)]
+        found = [choose_offers(offers, request, count, rules)]
     enough = [chosen for chosen in found if len(chosen) == count]
     cheapest = min(enough, key=lambda chosen: sum(offer.cost for offer in chosen), default=[])
     victims: Victims = {}
     for offer in cheapest:
         for allocation, task in offer.stopped:
-            tasks = victims.setdefault(offer.room.machine.name, {}).setdefault(
+            tasks = victims.setdefault(offer.capacity.machine.name, {}).setdefault(
                 (allocation.job, allocation.attempt), set()
             )
             tasks.add(task)
     return victims
 
 
-def make_offers(plan: Plan, ask: Ask, count: int, rules: PreemptionRules, wall_us: int) -> list[Offer]:
+def make_offers(
+    plan: Plan, request: PlacementRequest, count: int, rules: PreemptionRules, wall_us: int
+) -> list[Offer]:
     """Return the offers of each machine for up to `count` tasks; its youngest tasks are stopped first."""
-    spec = ask.spec
+    spec = request.spec
     checks = [rule for rule in VALIDATORS if rule.name != "room"]
     offers: list[Offer] = []
     # Most machines of a full fleet have neither free capacity nor tasks that may be stopped: skip them early.
     busy = rules.machines()
-    for room in plan.rooms:
-        fits = room.fits(spec) > 0
-        if not fits and room.machine.name not in busy:
+    for capacity in plan.capacities:
+        fits = capacity.fits(spec) > 0
+        if not fits and capacity.machine.name not in busy:
             continue
-        stoppable = [allocation for allocation in room.machine.holds if rules.allowed(allocation)]
-        if not (fits or stoppable) or not all(rule.allows(room, ask) for rule in checks):
+        stoppable = [allocation for allocation in capacity.machine.holds if rules.allowed(allocation)]
+        if not (fits or stoppable) or not all(rule.allows(capacity, request) for rule in checks):
             continue
         candidates = [
             (wall_us - allocation.record.placed_us, allocation, task)
@@ -159,7 +161,7 @@
             for task in allocation.tasks
         ]
         candidates.sort(key=lambda c: (c[0], c[1].job, c[2]))
-        free = Room(room.machine, room.type, room.cpus, room.gpus, room.memory_gb)
+        free = MachineCapacity(capacity.machine, capacity.type, capacity.cpus, capacity.gpus, capacity.memory_gb)
         taken = 0
         lost = 0.0
         stopped: list[tuple[Allocation, int]] = []
@@ -167,7 +169,7 @@
             if free.fits(spec) > 0:
                 free.take(spec, 1)
                 taken += 1
-                offers.append(Offer(lost, room, stopped))
+                offers.append(Offer(lost, capacity, stopped))
                 lost, stopped = 0.0, []
                 continue
             if not candidates:
@@ -181,7 +183,7 @@
     return offers
 
 
-def choose_offers(offers: list[Offer], ask: Ask, count: int, rules: PreemptionRules) -> list[Offer]:
+def choose_offers(offers: list[Offer], request: PlacementRequest, count: int, rules: PreemptionRules) -> list[Offer]:
     """Return the first `count` offers that may be taken together; fewer if there are not enough.
 
     Together they keep to the job's zone and to its limits per zone, as its placement must: otherwise tasks would be
@@ -194,8 +196,8 @@
     for offer in offers:
         if len(chosen) == count:
             break
-        machine = offer.room.machine
-        allowed = ask.zone in (None, machine.zone) and in_zone[machine.zone] < ask.zone_allows(machine.zone)
+        machine = offer.capacity.machine
+        allowed = request.zone in (None, machine.zone) and in_zone[machine.zone] < request.zone_allows(machine.zone)
         more = [(allocation, 1) for allocation, _ in offer.stopped]
         if not allowed or machine.name in skipped_machines or (more and not rules.covers([*claimed, *more])):
             skipped_machines.add(machine.name)
--- a/ashtray/placement/rules.py
+++ b/ashtray/placement/rules.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class MachineCapacity:
     """A machine with the capacity that is still free on it in the current plan."""
 
     machine: Machine
@@ -53,13 +53,13 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class PlacementRequest:
     """A job's request for machines, with the constraints that its already placed tasks impose."""
 
     spec: JobSpec
     zone: str | None = None
     """The zone that its tasks must share, once one of them is placed."""
-    zone_room: dict[str, int] | None = None
+    zone_limits: dict[str, int] | None = None
     """With `spread`: how many more of its tasks each zone may take; `spread_most` for zones not in it."""
     spread_most: int = 0
     image_within_s: float | None = None
@@ -83,9 +83,9 @@
 
     def zone_allows(self, zone: str) -> int:
         """Return how many more of the job's tasks a zone may take."""
-        if self.zone_room is None:
+        if self.zone_limits is None:
             return self.spec.tasks
-        return self.zone_room.get(zone, self.spread_most)
+        return self.zone_limits.get(zone, self.spread_most)
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     name: str
     reason: str
     """Why a machine is excluded, for `explain`."""
-    allows: Callable[[Room, Ask], bool]
+    allows: Callable[[MachineCapacity, PlacementRequest], bool]
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,25 +106,28 @@
     """The name by which the operators' file orders the rules."""
     reason: str
     """Why a machine has a score above 0, for `explain`."""
-    score: Callable[[Room, Ask, OperatorSettings], float]
+    score: Callable[[MachineCapacity, PlacementRequest, OperatorSettings], float]
 
 
-def fetch_s(room: Room, ask: Ask) -> float:
+def fetch_s(capacity: MachineCapacity, request: PlacementRequest) -> float:
     """Return how many seconds the machine takes to fetch the job's image; 0 if it has the image."""
-    if ask.spec.image in room.machine.images:
+    if request.spec.image in capacity.machine.images:
         return 0.0
-    return ask.spec.image_gb / max(room.type.fetch_gb_per_s, 0.001)
+    return request.spec.image_gb / max(capacity.type.fetch_gb_per_s, 0.001)
 
 
-def _image_in_time(room: Room, ask: Ask) -> bool:
-    return ask.image_within_s is None or fetch_s(room, ask) <= ask.image_within_s
+def _image_in_time(capacity: MachineCapacity, request: PlacementRequest) -> bool:
+    return request.image_within_s is None or fetch_s(capacity, request) <= request.image_within_s
 
 
-def _leaves_gpus_usable(room: Room, ask: Ask) -> bool:
+def _leaves_gpus_usable(capacity: MachineCapacity, request: PlacementRequest) -> bool:
     """While tasks wait for GPUs, other tasks must leave each free GPU its part of the machine's CPUs."""
-    if not ask.spare_gpus or ask.spec.gpus > 0 or room.type.gpus <= 0:
+    if not request.spare_gpus or request.spec.gpus > 0 or capacity.type.gpus <= 0:
         return True
-    return room.cpus - ask.spec.cpus + AMOUNT_TOLERANCE >= room.gpus * room.type.cpus / room.type.gpus
+    return (
+        capacity.cpus - request.spec.cpus + AMOUNT_TOLERANCE
+        >= capacity.gpus * capacity.type.cpus / capacity.type.gpus
+    )
 
 
 VALIDATORS = [
@@ -140,31 +143,33 @@
 ]
 
 
-def _trust(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
-    return min(room.blame, 3) + (2 if room.machine.name in ask.failed_on else 0)
+def _trust(capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings) -> float:
+    return min(capacity.blame, 3) + (2 if capacity.machine.name in request.failed_on else 0)
 
 
-def _image(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
-    seconds = fetch_s(room, ask)
+def _image(capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings) -> float:
+    seconds = fetch_s(capacity, request)
     # A fetch can use up all the time that an urgent job may wait; for other jobs, only a long one matters.
-    return math.ceil(min(seconds / (3.0 if ask.priority <= 1 else 20.0), 6.0))
+    return math.ceil(min(seconds / (3.0 if request.priority <= 1 else 20.0), 6.0))
 
 
-def _spare_gpu_machines(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
-    return 1 if room.type.gpus > 0 and ask.spec.gpus == 0 else 0
+def _spare_gpu_machines(
+    capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings
+) -> float:
+    return 1 if capacity.type.gpus > 0 and request.spec.gpus == 0 else 0
 
 
-def _spot(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
-    return 0 if room.machine.record.spot == ask.spec.spot else 1
+def _spot(capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings) -> float:
+    return 0 if capacity.machine.record.spot == request.spec.spot else 1
 
 
-def packing_score(room: Room, ask: Ask) -> float:
+def packing_score(capacity: MachineCapacity, request: PlacementRequest) -> float:
     """Return what one task would leave free, weighted by scarcity and scaled to 0..1 by the size of the machine."""
     remaining = whole = 0.0
     for weight, free, need, size in (
-        (ask.scarcity[0], room.cpus, ask.spec.cpus, room.type.cpus),
-        (ask.scarcity[1], room.gpus, ask.spec.gpus, room.type.gpus),
-        (ask.scarcity[2], room.memory_gb, ask.spec.memory_gb, room.type.memory_gb),
+        (request.scarcity[0], capacity.cpus, request.spec.cpus, capacity.type.cpus),
+        (request.scarcity[1], capacity.gpus, request.spec.gpus, capacity.type.gpus),
+        (request.scarcity[2], capacity.memory_gb, request.spec.memory_gb, capacity.type.memory_gb),
     ):
         if size > 0:
             remaining += weight * max(free - need, 0.0) / size
@@ -172,21 +177,25 @@
     return remaining / whole if whole else 0.0
 
 
-def _packing(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
-    return math.ceil(packing_score(room, ask) * operator_settings.buckets)
+def _packing(capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings) -> float:
+    return math.ceil(packing_score(capacity, request) * operator_settings.buckets)
 
 
 FEW_GROUPS = "few-groups"
 """The preference for groups that can take many of the tasks, so that few records are written."""
 
 
-def _few_groups(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
-    return ask.extra_writes.get(room.machine.group, 0)
+def _few_groups(capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings) -> float:
+    return request.extra_writes.get(capacity.machine.group, 0)
 
 
-def _scarce_writes(room: Room, ask: Ask, operator_settings: OperatorSettings) -> float:
+def _scarce_writes(
+    capacity: MachineCapacity, request: PlacementRequest, operator_settings: OperatorSettings
+) -> float:
     # While writes are scarce, writing few records is worth more than a cached image, except for urgent jobs.
-    return ask.extra_writes.get(room.machine.group, 0) if ask.writes_scarce and ask.priority > 1 else 0
+    return (
+        request.extra_writes.get(capacity.machine.group, 0) if request.writes_scarce and request.priority > 1 else 0
+    )
 
 
 PREFERENCES = {
@@ -203,96 +212,104 @@
 }
 
 
-def valid(room: Room, ask: Ask) -> bool:
+def valid(capacity: MachineCapacity, request: PlacementRequest) -> bool:
     """Return whether all validators allow a machine."""
-    return all(rule.allows(room, ask) for rule in VALIDATORS)
+    return all(rule.allows(capacity, request) for rule in VALIDATORS)
 
 
-class _EqualRooms:
+class _EqualCapacities:
     """Machines of one ranking that differ, as far as the rules see, only in their groups."""
 
     __slots__ = ("example", "fits", "by_extra_writes")
 
-    def __init__(self, example: Room, ask: Ask) -> None:
+    def __init__(self, example: MachineCapacity, request: PlacementRequest) -> None:
         self.example = example
-        self.fits = example.fits(ask.spec) if valid(example, ask) else 0
+        self.fits = example.fits(request.spec) if valid(example, request) else 0
         """How many tasks each of them takes; 0 if they may not be used."""
-        self.by_extra_writes: dict[int, list[tuple[float, Room]]] = {}
+        self.by_extra_writes: dict[int, list[tuple[float, MachineCapacity]]] = {}
         """By the number of additional records to write: the list of all machines with the same score, these
         included."""
 
 
 def rank(
-    rooms: list[Room], ask: Ask, count: int, operator_settings: OperatorSettings, rng: random.Random
-) -> list[Room]:
+    capacities: list[MachineCapacity],
+    request: PlacementRequest,
+    count: int,
+    operator_settings: OperatorSettings,
+    rng: random.Random,
+) -> list[MachineCapacity]:
     """Return the machines that may be used, the best first; among equals the order is random.
 
-    `count` is the number of tasks to place.  `ask.extra_writes` is filled in.  Equal machines are evaluated only
+    `count` is the number of tasks to place.  `request.extra_writes` is filled in.  Equal machines are evaluated only
     once.  Each machine is followed by those of its group that the rules up to `few-groups` rate equally, because a
     commit costs one write for each group.
     """
-    valid_rooms, fits = _evaluate(rooms, ask)
-    extra_writes = ask.extra_writes = {
-        group: 0 if group in ask.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
+    valid_capacities, fits = _evaluate(capacities, request)
+    extra_writes = request.extra_writes = {
+        group: 0 if group in request.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
     }
     rules = [PREFERENCES[name] for name in operator_settings.rules]
-    by_score: dict[tuple[float, ...], list[tuple[float, Room]]] = {}
-    for room, equals in valid_rooms:
-        number = extra_writes[room.machine.group]
+    by_score: dict[tuple[float, ...], list[tuple[float, MachineCapacity]]] = {}
+    for capacity, equals in valid_capacities:
+        number = extra_writes[capacity.machine.group]
         same_score = equals.by_extra_writes.get(number)
         if same_score is None:
-            score = tuple(rule.score(room, ask, operator_settings) for rule in rules)
+            score = tuple(rule.score(capacity, request, operator_settings) for rule in rules)
             same_score = equals.by_extra_writes[number] = by_score.setdefault(score, [])
-        same_score.append((rng.random(), room))
+        same_score.append((rng.random(), capacity))
     prefix = operator_settings.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in operator_settings.rules else 0
     return _in_order(by_score, prefix)
 
 
-def _evaluate(rooms: list[Room], ask: Ask) -> tuple[list[tuple[Room, _EqualRooms]], dict[str, int]]:
+def _evaluate(
+    capacities: list[MachineCapacity], request: PlacementRequest
+) -> tuple[list[tuple[MachineCapacity, _EqualCapacities]], dict[str, int]]:
     """Return the machines that may be used, each with its equals, and how many tasks fit into each group."""
-    by_key: dict[Any, _EqualRooms] = {}
-    image, failed_on = ask.spec.image, ask.failed_on
+    by_key: dict[Any, _EqualCapacities] = {}
+    image, failed_on = request.spec.image, request.failed_on
     fits: dict[str, int] = {}
-    valid_rooms: list[tuple[Room, _EqualRooms]] = []
-    for room in rooms:
-        machine = room.machine
+    valid_capacities: list[tuple[MachineCapacity, _EqualCapacities]] = []
+    for capacity in capacities:
+        machine = capacity.machine
         key = (
             machine.sort,
-            room.blame,
+            capacity.blame,
             machine.name in failed_on,
             image in machine.images,
-            room.cpus,
-            room.gpus,
-            room.memory_gb,
+            capacity.cpus,
+            capacity.gpus,
+            capacity.memory_gb,
         )
         equals = by_key.get(key)
         if equals is None:
-            equals = by_key[key] = _EqualRooms(room, ask)
+            equals = by_key[key] = _EqualCapacities(capacity, request)
         if equals.fits:
-            valid_rooms.append((room, equals))
+            valid_capacities.append((capacity, equals))
             fits[machine.group] = fits.get(machine.group, 0) + equals.fits
-    return valid_rooms, fits
+    return valid_capacities, fits
 
 
-def _in_order(by_score: dict[tuple[float, ...], list[tuple[float, Room]]], prefix: int) -> list[Room]:
+def _in_order(
+    by_score: dict[tuple[float, ...], list[tuple[float, MachineCapacity]]], prefix: int
+) -> list[MachineCapacity]:
     """Return the machines by score, and among equals by their random numbers.
 
     With `prefix` above 0, machines whose first `prefix` scores are equal are ordered group by group.
     """
-    ranked: list[Room] = []
+    ranked: list[MachineCapacity] = []
     # Sorting puts scores with the same prefix next to each other.
     for _, scores in groupby(sorted(by_score), key=lambda score: score[:prefix] if prefix else score):
         entries = [entry for score in scores for entry in sorted(by_score[score], key=_random_number)]
         if prefix:
             # Groups are ordered by their first machine, because a dict keeps its order.
-            by_group: dict[str, list[Room]] = {}
-            for _, room in entries:
-                by_group.setdefault(room.machine.group, []).append(room)
+            by_group: dict[str, list[MachineCapacity]] = {}
+            for _, capacity in entries:
+                by_group.setdefault(capacity.machine.group, []).append(capacity)
             ranked += chain.from_iterable(by_group.values())
         else:
-            ranked += [room for _, room in entries]
+            ranked += [capacity for _, capacity in entries]
     return ranked
 
 
-def _random_number(entry: tuple[float, Room]) -> float:
+def _random_number(entry: tuple[float, MachineCapacity]) -> float:
     return entry[0]
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -358,8 +358,10 @@
 
 def group_record(machine: str, holds: dict[str, str], done: dict[str, str] | None = None) -> Any:
     """The record of a group of one machine, with its allocations and completed tasks by job."""
-    room = [AllocationRecord(job_id, 1, tasks, "crew", 2.0, 0.0, 4.0, BEGIN_US) for job_id, tasks in holds.items()]
-    record = MachineRecord(f"{machine}:1", token=TOKEN, holds=room)
+    allocations = [
+        AllocationRecord(job_id, 1, tasks, "crew", 2.0, 0.0, 4.0, BEGIN_US) for job_id, tasks in holds.items()
+    ]
+    record = MachineRecord(f"{machine}:1", token=TOKEN, holds=allocations)
     return msgspec.to_builtins(GroupRecord("small", "a", {machine: record}, done or {}))
 
 
--- a/tests/model_neglect.py
+++ b/tests/model_neglect.py
@@ -138,7 +138,7 @@
                 taken = self.jobs[other].spec
                 for n, name in enumerate(("cpus", "cards", "memory_gb")):
                     free[n] -= taken[name]
-        return int(min((room + 1e-6) // need for room, need in zip(free, needs, strict=True) if need > 0))
+        return int(min((amount + 1e-6) // need for amount, need in zip(free, needs, strict=True) if need > 0))
 
     def _team_uses(self) -> float:
         """The CPUs of all tasks of the limited team that machines know, those that still fetch their image too."""
--- a/tests/mutants/cached.py
+++ b/tests/mutants/cached.py
@@ -12,5 +12,5 @@
         "                self._note_allocation(allocation, 1)\n",
         "                pass\n",
     ),
-    "rooms-of-other-blame-judged-alike": (RULES, "            room.blame,\n", ""),
+    "rooms-of-other-blame-judged-alike": (RULES, "            capacity.blame,\n", ""),
 }
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -53,7 +53,7 @@
     ),
     "a-spread-forgets-what-is-placed": (
         "ashtray/placement/plan.py",
-        "ask.zone_room[zone] = ask.zone_room.get(zone, ask.spread_most) - len(allocation.tasks)",
+        "request.zone_limits[zone] = request.zone_limits.get(zone, request.spread_most) - len(allocation.tasks)",
         "pass",
     ),
 }
--- a/tests/mutants/machines.py
+++ b/tests/mutants/machines.py
@@ -40,12 +40,12 @@
     ),
     "stops-in-any-zone": (
         PREEMPTION,
-        "if job.spec.same_zone and ask.zone is None:",
+        "if job.spec.same_zone and request.zone is None:",
         "if False:",
     ),
     "stops-beyond-a-zone-s-share": (
         PREEMPTION,
-        "in_zone[machine.zone] < ask.zone_allows(machine.zone)",
+        "in_zone[machine.zone] < request.zone_allows(machine.zone)",
         "True",
     ),
 }
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -266,8 +266,8 @@
     assert all(placed)
     assert plan.visits <= 2 * 50
     # No machine is overcommitted, and few machines are used.
-    assert all(room.cpus >= -1e-6 and room.memory_gb >= -1e-6 for room in plan.rooms)
-    assert len({room.machine.name for choices in placed for room, _ in choices}) <= 20
+    assert all(capacity.cpus >= -1e-6 and capacity.memory_gb >= -1e-6 for capacity in plan.capacities)
+    assert len({capacity.machine.name for choices in placed for capacity, _ in choices}) <= 20
 
 
 def test_the_allocation_of_a_job_of_one_task_is_small_enough_for_its_group():
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,7 +18,7 @@
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Machine
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
-from ashtray.placement.rules import FEW_GROUPS, PREFERENCES, Ask, Room, rank, valid
+from ashtray.placement.rules import FEW_GROUPS, PREFERENCES, MachineCapacity, PlacementRequest, rank, valid
 from ashtray.placement.state_keys import GROUP
 from ashtray.standby.book import latest
 from ashtray.standby.intents import Intent, Intents
@@ -171,28 +171,33 @@
 
 
 def rank_one_by_one(
-    rooms: list[Room], ask: Ask, count: int, operator_settings: OperatorSettings, rng: random.Random
-) -> list[Room]:
+    capacities: list[MachineCapacity],
+    request: PlacementRequest,
+    count: int,
+    operator_settings: OperatorSettings,
+    rng: random.Random,
+) -> list[MachineCapacity]:
     """The result that `rank` must give, with each machine scored by itself."""
     rules = [PREFERENCES[name] for name in operator_settings.rules]
     rule_count = operator_settings.rules.index(FEW_GROUPS) + 1 if FEW_GROUPS in operator_settings.rules else 0
-    fitting = [room for room in rooms if valid(room, ask)]
+    fitting = [capacity for capacity in capacities if valid(capacity, request)]
     fits: dict[str, int] = {}
-    for room in fitting:
-        fits[room.machine.group] = fits.get(room.machine.group, 0) + room.fits(ask.spec)
-    ask.extra_writes = {
-        group: 0 if group in ask.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
+    for capacity in fitting:
+        fits[capacity.machine.group] = fits.get(capacity.machine.group, 0) + capacity.fits(request.spec)
+    request.extra_writes = {
+        group: 0 if group in request.due_groups else -(-count // min(fit, count)) for group, fit in fits.items()
     }
     scored = [
-        (tuple(rule.score(room, ask, operator_settings) for rule in rules), rng.random(), room) for room in fitting
+        (tuple(rule.score(capacity, request, operator_settings) for rule in rules), rng.random(), capacity)
+        for capacity in fitting
     ]
     scored.sort(key=lambda entry: entry[:2])
     if not rule_count:
-        return [room for _, _, room in scored]
-    by_group: dict[tuple[tuple[float, ...], str], list[Room]] = {}
-    for score, _, room in scored:
-        by_group.setdefault((score[:rule_count], room.machine.group), []).append(room)
-    return [room for group_rooms in by_group.values() for room in group_rooms]
+        return [capacity for _, _, capacity in scored]
+    by_group: dict[tuple[tuple[float, ...], str], list[MachineCapacity]] = {}
+    for score, _, capacity in scored:
+        by_group.setdefault((score[:rule_count], capacity.machine.group), []).append(capacity)
+    return [capacity for group_capacities in by_group.values() for capacity in group_capacities]
 
 
 @given(st.integers(0, 10**6), st.integers(1, 12), st.booleans(), st.sampled_from([0, 1, 3]), st.booleans())
@@ -201,7 +206,7 @@
 ) -> None:
     draw = random.Random(seed)
     kinds = {"big": KIND, "flat": MachineType("flat", 16.0, 0.0, 64.0, 60.0, 0.2, 1.0, 0.2, 20_000_000, ("a", "b"))}
-    rooms = []
+    capacities = []
     for n in range(draw.randrange(40)):
         kind = draw.choice(list(kinds.values()))
         record = MachineRecord(
@@ -212,30 +217,32 @@
         )
         free = draw.choice([0.0, 0.25, 0.5, 1.0])
         blame = draw.choice([0, 0, 0, 2])
-        rooms.append(Room(machine, kind, kind.cpus * free, kind.gpus * free, kind.memory_gb * free, blame))
+        capacities.append(
+            MachineCapacity(machine, kind, kind.cpus * free, kind.gpus * free, kind.memory_gb * free, blame)
+        )
     cpus, gpus = draw.choice([0.0, 2.0, 3.5]), draw.choice([0.0, 0.0, 1.0])
     kind_of = "gang" if gang else "array"
     spec = JobSpec("any", "crew", kind_of, priority, count, cpus, gpus, 8.0, "img", 3.0, spot=draw.random() < 0.5)
     operator_settings = (
         OperatorSettings() if draw.random() < 0.7 else OperatorSettings(rules=("trust", "image", "packing"))
     )
-    ask = Ask(
+    request = PlacementRequest(
         spec,
         priority=priority,
         writes_scarce=writes_scarce,
         due_groups={"group-1"},
         failed_on=frozenset({"vm-1", "vm-2"}),
     )
-    plain = Ask(
+    plain = PlacementRequest(
         spec,
         priority=priority,
         writes_scarce=writes_scarce,
         due_groups={"group-1"},
         failed_on=frozenset({"vm-1", "vm-2"}),
     )
-    found = rank(list(rooms), ask, count, operator_settings, random.Random(seed))
-    assert found == rank_one_by_one(rooms, plain, count, operator_settings, random.Random(seed))
-    assert ask.extra_writes == plain.extra_writes
+    found = rank(list(capacities), request, count, operator_settings, random.Random(seed))
+    assert found == rank_one_by_one(capacities, plain, count, operator_settings, random.Random(seed))
+    assert request.extra_writes == plain.extra_writes
 
 
 TEAM_JOB = JobSpec("any", "crew", "array", 2, 9, 2.0, 1.0, 3.0, "img", 1.0)
