--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -109,8 +109,8 @@
 
         This controller takes over some of the peer's duties, or returns them.
         """
-        self.kernel.fire(self.placer.kick)
-        self.kernel.fire(self.fleet_manager.kick)
+        self.kernel.fire(self.placer.wake_signal)
+        self.kernel.fire(self.fleet_manager.wake_signal)
 
     def _note_cancelled_elsewhere(self, job_ids: list[str]) -> None:
         """Record cancellations that a peer knows and this controller may not have read, and end the jobs' tasks."""
--- a/ashtray/fleet/fleet_manager.py
+++ b/ashtray/fleet/fleet_manager.py
@@ -34,7 +34,7 @@
     def __init__(self, base: Base, presence: Presence, peers: Peers, job_timing: JobTiming, planner: Planner) -> None:
         self.base = base
         self.presence = presence
-        self.kick = Signal()
+        self.wake_signal = Signal()
         """A wake-up signal: begins a round at once."""
         boot_times = BootTimes(base.cluster_state, base.operator_settings.boot_patience)
         backoff = CapacityBackoff(base.kernel)
@@ -55,7 +55,7 @@
 
     def round(self) -> Coroutine[None]:
         """Wait for the next round, then update the fleet lease and, as the leader, rent and return machines."""
-        yield Wait(self.kick, ROUND_US)
+        yield Wait(self.wake_signal, ROUND_US)
         if not self.base.follower.loaded or not self.presence.incarnation:
             return
         new_term = yield from self.lease.update()
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -98,7 +98,7 @@
         self.worker_manager = worker_manager
         self._recent_failures: deque[bool] = deque(maxlen=base.operator_settings.window)
         """For each of the last commits, whether it failed."""
-        self.kick = Signal()
+        self.wake_signal = Signal()
         self._seen_changes = -1
         self._partial_us: dict[str, int] = {}
         self._urgent_since_us: dict[str, int] = {}
@@ -135,7 +135,7 @@
         """
         while True:
             if not self._round_requested:
-                yield Wait(self.kick, RETRY_US)
+                yield Wait(self.wake_signal, RETRY_US)
             self._round_requested = False
             if self.base.follower.loaded and self.presence.incarnation:
                 self._seen_changes = self.base.cluster_state.changes
@@ -152,7 +152,7 @@
     def changed(self) -> None:
         """Wake the placement loop if the cluster state has changed since the last round."""
         if self.base.cluster_state.changes != self._seen_changes:
-            self.base.kernel.fire(self.kick)
+            self.base.kernel.fire(self.wake_signal)
 
     def _round(self) -> Coroutine[int]:
         """Process the queue once and return the cost, in checked machines; a job counts as `JOB_COST` of them."""
