--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -21,7 +21,7 @@
 from ashtray.kernel import SECOND_US, Coroutine, Kernel, Output, Reply
 from ashtray.peers import announcements
 from ashtray.peers.announcements import CancellationNotice, CancellationReceipt
-from ashtray.peers.presence import Peers, Presence, word_us
+from ashtray.peers.presence import Peers, Presence, heartbeat_interval_us
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.minimum_share import MinimumShare
 from ashtray.placement.placer import Placer
@@ -86,7 +86,7 @@
         )
         times = StatedTimes(settings.cluster.objectives, job_timing)
         planner = Planner(base, times, MinimumShare(self.cluster_state, job_timing))
-        self.presence = Presence(base, self.grants, FailureDetector(hosts, word_us(len(hosts))))
+        self.presence = Presence(base, self.grants, FailureDetector(hosts, heartbeat_interval_us(len(hosts))))
         self.renewal = RenewalGuard(settings.cluster.workers, hosts)
         self.peers = Peers(
             base,
@@ -255,7 +255,7 @@
         """Handle a request of another controller."""
         self.kernel.advance(now_us, wall_us)
         if path == "/peer/word" and method == "POST":
-            self.peers.on_word(request_id, body)
+            self.peers.on_heartbeat(request_id, body)
         elif path == announcements.PATH and method == "POST":
             self._on_cancellation_notice(request_id, body)
         elif path == "/peer/request" and method == "POST":
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -162,8 +162,8 @@
         """
         # Peers tell only the fleet leader which workers they hear, and need some time to tell a new one.
         unheard = self.peers.mute()
-        until_us = min(self.kernel.now_us, self.peers.all_word_us(unheard))
-        informed = until_us - self._term_us > INFORMED_HEARTBEATS * self.peers.word_us
+        until_us = min(self.kernel.now_us, self.peers.all_heard_until_us(unheard))
+        informed = until_us - self._term_us > INFORMED_HEARTBEATS * self.peers.heartbeat_interval_us
         return self._silences(unheard, until_us, informed)
 
     def _silences(self, unheard: set[str], until_us: int, informed: bool) -> dict[str, int]:
@@ -194,5 +194,7 @@
         """
         quiet_us = QUIET_REPORT_INTERVALS * self.base.settings.cluster.workers.report_s * SECOND_US
         unheard = self.peers.mute()
-        silences = self._silences(unheard, min(self.kernel.now_us, self.peers.all_word_us(unheard)), informed=True)
+        silences = self._silences(
+            unheard, min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=True
+        )
         return {name: us for name, us in silences.items() if us > quiet_us}
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -207,8 +207,8 @@
 
 MAX_REPORT_AGE_US = 60 * SECOND_US
 """Reports of workers that are older are left out of heartbeats."""
-MUTE_INTERVALS = 4
-"""Heartbeat intervals after which a live peer without a heartbeat counts as mute: which workers report to it is
+SILENT_PEER_INTERVALS = 4
+"""Heartbeat intervals after which a live peer without a heartbeat counts as silent: which workers report to it is
 unknown."""
 MAX_AGE_US = 10**15
 """The largest age that a heartbeat may state; it also stands for "never read"."""
@@ -219,7 +219,7 @@
 service may end the lease late, and the peers read of the end with a delay."""
 
 
-def word_us(others: int) -> int:
+def heartbeat_interval_us(others: int) -> int:
     """Return the interval between two heartbeats to one peer, in microseconds.
 
     Each heartbeat costs both sides a request, so the interval grows with the number of peers.
@@ -269,7 +269,7 @@
 
     host: str
     address: str
-    word_us: int = -(10**15)
+    heartbeat_us: int = -(10**15)
     """When its last heartbeat came."""
     state_age_us: int = 10**15
     """How old its last read of the state service was at that time."""
@@ -315,7 +315,7 @@
         self.peers = {p.host_name: PeerState(p.host_name, p.peer_addr) for p in base.settings.others}
         addresses = [peer.address for peer in self.peers.values()]
         self.announcer = CancellationAnnouncer(base.kernel, addresses, settle, void_elsewhere)
-        self.word_us = self.failure_detector.heartbeat_interval_us
+        self.heartbeat_interval_us = self.failure_detector.heartbeat_interval_us
         self._last_doubts: set[str] = set()
         """The peers that this controller doubted at the last evaluation."""
         self._wake_signals = {host: Signal() for host in self.peers}
@@ -335,7 +335,9 @@
             # A peer that refused the connection is called again as soon as another refusal would be evidence.
             doubt_us = self.failure_detector.until_doubt_us(peer.host, kernel.now_us, kernel.awake_us)
             pause_us = (
-                min(doubt_us + MIN_HEARTBEAT_PAUSE_US, self.word_us) if reply.refused and doubt_us else self.word_us
+                min(doubt_us + MIN_HEARTBEAT_PAUSE_US, self.heartbeat_interval_us)
+                if reply.refused and doubt_us
+                else self.heartbeat_interval_us
             )
             yield Wait(self._wake_signals[peer.host], pause_us)
             # Two controllers that wake each other's sender must not send without pause.
@@ -437,7 +439,7 @@
         followed_from = follower.followed_from if follower.loaded else None
         return self.base.cluster_state.cancellations.statement(followed_from, beyond)
 
-    def on_word(self, request_id: int, body: Any) -> None:
+    def on_heartbeat(self, request_id: int, body: Any) -> None:
         """Take in a peer's heartbeat and answer it; with 400 if it is malformed or its sender is unknown."""
         kernel = self.base.kernel
         peer = self.peers.get(str(body.get("host"))) if isinstance(body, dict) else None
@@ -452,7 +454,7 @@
         if not math.isfinite(message.need):
             kernel.answer(request_id, 400, {"error": "need is not a finite number"})
             return
-        peer.word_us = kernel.now_us
+        peer.heartbeat_us = kernel.now_us
         peer.state_age_us = message.state_age_us
         peer.need = message.need
         # Earlier report times stay valid when a worker no longer reports to this peer, or when the peer has
@@ -479,9 +481,9 @@
 
     def connected(self) -> list[str]:
         """Return the peers whose heartbeats say that they can read the state service, the latest heartbeat first."""
-        since_us = self.base.kernel.now_us - 3 * self.word_us
-        peers = [p for p in self.peers.values() if p.word_us > since_us and p.state_age_us < 2 * SECOND_US]
-        return [peer.host for peer in sorted(peers, key=lambda peer: -peer.word_us)]
+        since_us = self.base.kernel.now_us - 3 * self.heartbeat_interval_us
+        peers = [p for p in self.peers.values() if p.heartbeat_us > since_us and p.state_age_us < 2 * SECOND_US]
+        return [peer.host for peer in sorted(peers, key=lambda peer: -peer.heartbeat_us)]
 
     def alone(self, after_us: int) -> bool:
         """Whether this controller has neither read the state service nor heard a peer for `after_us`.
@@ -490,7 +492,7 @@
         its peers have ended.  It cannot tell which: the caller may only do what is safe in both cases.
         """
         since_us = self.base.kernel.now_us - after_us
-        last_us = max((peer.word_us for peer in self.peers.values()), default=since_us)
+        last_us = max((peer.heartbeat_us for peer in self.peers.values()), default=since_us)
         return last_us < since_us and self.base.follower.read_us < since_us
 
     def given_up(self, key: str) -> str | None:
@@ -514,12 +516,14 @@
 
     def mute(self) -> set[str]:
         """Return the live peers that send no heartbeats; workers may still report to them."""
-        since_us = self.base.kernel.now_us - MUTE_INTERVALS * self.word_us
+        since_us = self.base.kernel.now_us - SILENT_PEER_INTERVALS * self.heartbeat_interval_us
         live = self.presence.live()
-        return {p.host for p in self.peers.values() if p.host in live and p.word_us < since_us}
+        return {p.host for p in self.peers.values() if p.host in live and p.heartbeat_us < since_us}
 
-    def all_word_us(self, mute: set[str]) -> int:
-        """Return the time up to which all live peers other than the mute ones have sent heartbeats."""
+    def all_heard_until_us(self, silent: set[str]) -> int:
+        """Return the time up to which all live peers other than the silent ones have sent heartbeats."""
         now = self.base.kernel.now_us
         live = self.presence.live()
-        return min([p.word_us for p in self.peers.values() if p.host in live and p.host not in mute], default=now)
+        return min(
+            [p.heartbeat_us for p in self.peers.values() if p.host in live and p.host not in silent], default=now
+        )
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -17,8 +17,8 @@
     ),
     "told-silence-is-not-passed-on": (
         INVENTORY,
-        "min(self.kernel.now_us, self.peers.all_word_us(unheard)), informed=True)",
-        "min(self.kernel.now_us, self.peers.all_word_us(unheard)), informed=False)",
+        "min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=True)",
+        "min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=False)",
     ),
     "silent-since-before-all-ended": (
         INVENTORY,
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -94,7 +94,7 @@
 def test_an_invalid_heartbeat_is_refused_without_effect(heartbeat):
     core = Model(1).hosts[0].core
     before = repr(core.peers.peers)
-    core.peers.on_word(7, {"host": "berth-1", **heartbeat})
+    core.peers.on_heartbeat(7, {"host": "berth-1", **heartbeat})
     answers = [out for out in core.kernel.out if isinstance(out, Answer)]
     assert [answer.status for answer in answers] == [400]
     assert repr(core.peers.peers) == before
@@ -282,7 +282,7 @@
     later = core.kernel.now_us + 60 * SECOND
     core.kernel.now_us = later
     for peer in core.peers.peers.values():
-        peer.word_us = later
+        peer.heartbeat_us = later
     assert min(core.fleet_manager.inventory.silences().values()) > 50 * SECOND
     core.kernel.awake_us = later
     assert max(core.fleet_manager.inventory.silences().values()) == 0
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -65,7 +65,7 @@
         core.kernel.advance(*model.clock(model.hosts[0]))
         model.waiting[10**6 + n] = lambda status, body: None
         word = {"host": "berth-1", "state_age_us": 0, "need": 0.0, "heard": {f"vm-{n:06}": 0}}
-        core.peers.on_word(10**6 + n, word)
+        core.peers.on_heartbeat(10**6 + n, word)
     assert len(peer.heard) <= 61
 
 
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -55,7 +55,7 @@
     "look-ups": "service.py:_look_up",
     "needs": "service.py:resolve",
     "words to peers": "presence.py:_send",
-    "words from peers": "presence.py:on_word",
+    "words from peers": "presence.py:on_heartbeat",
     "estimates": "estimate_store.py:run",
 }
 """The outermost function of each duty, as FILE:FUNCTION; a duty's time includes all functions that it calls."""
