--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -226,7 +226,7 @@
     def stop(self, now_us: int, wall_us: int) -> list[Output]:
         """Begin to hand all duties over, because the process is to end.  `ended` is set when that is done."""
         self.kernel.advance(now_us, wall_us)
-        if not self.presence.leaving:
+        if not self.presence.shutting_down:
             self.kernel.log("info", "told to end: handing its duties over")
             self.kernel.spawn(self._hand_over())
         return self.kernel.run()
@@ -330,9 +330,9 @@
         cut_us = self.kernel.now_us - self.follower.read_us
         if not ready or not self.presence.incarnation:
             self.kernel.answer(request_id, 503, {"error": "starting"}, 1)
-        elif self.presence.leaving:
+        elif self.presence.shutting_down:
             self.kernel.answer(request_id, 503, {"error": "ending"}, 1)
-        elif cut_us > CUT_OFF_US and (self.peers.better_connected() is not None or self.peers.alone(CUT_OFF_US)):
+        elif cut_us > CUT_OFF_US and (self.peers.better_connected() is not None or self.peers.isolated(CUT_OFF_US)):
             self.kernel.answer(request_id, 503, {"error": "cut off from the state service"}, 1)
         else:
             self.kernel.answer(request_id, 200, {"status": "up"})
--- a/ashtray/fleet/fleet_lease.py
+++ b/ashtray/fleet/fleet_lease.py
@@ -86,7 +86,7 @@
     def _may_take(self, now_us: int) -> bool:
         """Return whether the key is free or its holder suspected, and it is this controller's turn to take it."""
         fleet = self.base.cluster_state.fleet
-        first = self.presence.foreman(FLEET) == self.base.settings.host_name
+        first = self.presence.responsible_controller(FLEET) == self.base.settings.host_name
         if fleet is None:
             if self._free_since_us is None:
                 self._free_since_us = now_us
@@ -95,4 +95,4 @@
         holder = fleet[0].get("host")
         # Its own key is taken again: a restarted process does not know that it led the fleet (safety point 27).
         is_own_host = holder == self.base.settings.host_name
-        return is_own_host or (first and holder in self.presence.failure_detector.away)
+        return is_own_host or (first and holder in self.presence.failure_detector.unavailable)
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -11,14 +11,14 @@
 from ashtray.fleet.provisioning import Provisioning
 from ashtray.kernel import Coroutine
 from ashtray.peers.presence import INTENTS, Peers
-from ashtray.standby.book import OLD_US, Book, latest
+from ashtray.standby.leader_notes import MAX_NOTES_AGE_US, LeaderNotes, youngest_entries
 from ashtray.standby.takeover import Check, Takeover
 
 
 class Handover:
-    """Makes the checks before the first decision of a term (safety point 24), and exchanges books (`Book`).
+    """Makes the checks before the first decision of a term (safety point 24), and exchanges the leader's notes.
 
-    A book holds what a leader has learnt and the records do not say.
+    The notes (`LeaderNotes`) hold what a leader has learnt and the records do not say.
     """
 
     def __init__(
@@ -42,53 +42,53 @@
         self.takeover = Takeover(0)
         self._began_us = 0
         """When this controller began its term."""
-        peers.write_book = self.write_book
+        peers.make_leader_notes = self.make_leader_notes
 
     def begin(self, term: NewTerm) -> None:
-        """Begin a term: only the records, the predecessor's book and the cloud's list are relied on."""
+        """Begin a term: only the records, the predecessor's notes and the cloud's list are relied on."""
         now_us = self.kernel.now_us
         self._began_us = now_us
         self.takeover = Takeover(now_us)
         self.takeover.ok(Check.TERM, now_us)
         self.inventory.begin_term()
         self.kernel.log("info", "runs the fleet")
-        self._read_book(term)
+        self._read_notes(term)
 
     # Knowledge passed to successors
 
-    def write_book(self) -> Book | None:
+    def make_leader_notes(self) -> LeaderNotes | None:
         """Return what a successor cannot read from the records; None if this controller does not lead the fleet."""
         if not self.lease.running or not self.takeover.ready():
             return None
         now_us = self.kernel.now_us
-        return Book(
+        return LeaderNotes(
             self.lease.term,
-            latest({name: now_us - at_us for name, at_us in self.inventory.deleted.items()}),
-            latest({name: now_us - at_us for name, at_us in self.inventory.idle_since.items()}),
+            youngest_entries({name: now_us - at_us for name, at_us in self.inventory.deleted.items()}),
+            youngest_entries({name: now_us - at_us for name, at_us in self.inventory.idle_since.items()}),
             [
                 (*kind, refusal.until_us - now_us, refusal.times)
                 for kind, refusal in self.backoff.refusals.items()
                 if refusal.until_us > now_us
             ],
             [(*kind, ratio) for kind, ratio in sorted(self.boot_times.ratios().items())],
-            latest(self.inventory.quiet()),
+            youngest_entries(self.inventory.quiet()),
         )
 
-    def _read_book(self, term: NewTerm) -> None:
-        """Adopt the predecessor's book, unless it is old or was not written between this controller's terms."""
-        if self.peers.book is None or self.kernel.now_us - self.peers.book[1] > OLD_US:
+    def _read_notes(self, term: NewTerm) -> None:
+        """Adopt the predecessor's notes, unless they are old or were not written between this controller's terms."""
+        if self.peers.leader_notes is None or self.kernel.now_us - self.peers.leader_notes[1] > MAX_NOTES_AGE_US:
             return
-        book, at_us = self.peers.book
-        if not term.previous < book.term < term.term:
+        notes, at_us = self.peers.leader_notes
+        if not term.previous < notes.term < term.term:
             return
-        self.inventory.deleted.update((name, at_us - age_us) for name, age_us in book.gone.items())
-        self.inventory.idle_since.update((name, at_us - age_us) for name, age_us in book.idle.items())
+        self.inventory.deleted.update((name, at_us - age_us) for name, age_us in notes.gone.items())
+        self.inventory.idle_since.update((name, at_us - age_us) for name, age_us in notes.idle.items())
         # Otherwise each term would count the silence of a machine from its own beginning, and tasks of a cancelled
         # job would stay on a silent machine for longer than `cancel_s`.
-        self.inventory.predecessor_heard_us.update((name, at_us - age_us) for name, age_us in book.silent.items())
-        for name, zone, spot, pause_us, times in book.blocked:
+        self.inventory.predecessor_heard_us.update((name, at_us - age_us) for name, age_us in notes.silent.items())
+        for name, zone, spot, pause_us, times in notes.blocked:
             self.backoff.refusals[MachineKind(name, zone, spot)] = Refusal(at_us + pause_us, times)
-        for name, zone, spot, ratio in book.boots:
+        for name, zone, spot, ratio in notes.boots:
             self.boot_times.set_ratio(MachineKind(name, zone, spot), ratio)
 
     # The checks
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -161,7 +161,7 @@
         report to a live controller whose heartbeats are missing count as heard: it cannot say that it hears them.
         """
         # Peers tell only the fleet leader which workers they hear, and need some time to tell a new one.
-        unheard = self.peers.mute()
+        unheard = self.peers.silent_peers()
         until_us = min(self.kernel.now_us, self.peers.all_heard_until_us(unheard))
         informed = until_us - self._term_us > INFORMED_HEARTBEATS * self.peers.heartbeat_interval_us
         return self._silences(unheard, until_us, informed)
@@ -178,7 +178,11 @@
             told_us = self.predecessor_heard_us.get(name)
             if informed and told_us is not None:
                 last = max(heard.get(name, 0), told_us, awake_us)
-            found[name] = 0 if unheard and presence.foreman(machine.group) in unheard else max(until_us - last, 0)
+            found[name] = (
+                0
+                if unheard and presence.responsible_controller(machine.group) in unheard
+                else max(until_us - last, 0)
+            )
         return found
 
     def heard_within(self, limit_us: int) -> set[str]:
@@ -193,7 +197,7 @@
         they hear: a successor waits for their heartbeats before it relies on it (safety point 12).
         """
         quiet_us = QUIET_REPORT_INTERVALS * self.base.settings.cluster.workers.report_s * SECOND_US
-        unheard = self.peers.mute()
+        unheard = self.peers.silent_peers()
         silences = self._silences(
             unheard, min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=True
         )
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -118,7 +118,7 @@
     def _check_dependencies(self, spec: JobSpec) -> Coroutine[Objection | None]:
         """Return the objection to a job that its dependencies give rise to."""
         cluster_state = self.base.cluster_state
-        old_peers = self.presence.older() if spec.needs else []
+        old_peers = self.presence.outdated_peers() if spec.needs else []
         if old_peers:
             # A peer of an older version drops fields that it does not know when it rewrites the job's record.
             return RetryLater(f"not all controllers support jobs with dependencies yet: {', '.join(old_peers)}")
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -17,8 +17,8 @@
 from ashtray.kernel import SECOND_US, Call, Coroutine, Reply, Signal, Sleep, Wait
 from ashtray.peers.announcements import CancellationAnnouncer
 from ashtray.placement.state_keys import CONTROLLER, FLEET
-from ashtray.standby.book import SUCCESSORS, Book
 from ashtray.standby.failure_detector import DOUBT_RECIPIENTS, FailureDetector
+from ashtray.standby.leader_notes import SUCCESSORS, LeaderNotes
 from ashtray.store.client import Txn, Urgency
 from ashtray.teams.grants import Grants
 
@@ -60,11 +60,11 @@
         """The revision at which the presence key was last written."""
         self._live_source: dict[str, Any] | None = None
         self._live: list[str] = []
-        self._able_source: tuple[list[str], frozenset[str]] | None = None
-        self._able: list[str] = []
+        self._available_source: tuple[list[str], frozenset[str]] | None = None
+        self._available: list[str] = []
         self._responsible: dict[str, str] = {}
         self._upgraded = 0
-        self.leaving = False
+        self.shutting_down = False
         """This process has been told to end and owns no duty any more."""
 
     def run(self) -> Coroutine[None]:
@@ -72,7 +72,7 @@
         base = self.base
         key = CONTROLLER + base.settings.host_name
         opened: tuple[int, int] | None = None
-        while not self.leaving:
+        while not self.shutting_down:
             if self.lease is None:
                 if opened is None or base.kernel.now_us - opened[1] > LEASE_US // 2:
                     # A lease whose sign-in failed is used again.  Otherwise unused leases pile up in the state
@@ -124,8 +124,8 @@
 
     def leave(self) -> Coroutine[None]:
         """Close the lease, which removes the keys attached to it, so that peers need not wait for its expiry."""
-        self.leaving = True
-        self._able_source = None
+        self.shutting_down = True
+        self._available_source = None
         lease, self.lease = self.lease, None
         if lease is not None:
             yield from self.base.store.close_lease(lease)
@@ -145,7 +145,7 @@
             self._upgraded = max(self._upgraded, min(seen.get(host, {}).get("form", 0) for host in hosts))
         return self._upgraded >= version
 
-    def older(self) -> list[str]:
+    def outdated_peers(self) -> list[str]:
         """Return the live controllers older than `DEPENDENCIES_VERSION`.
 
         When they rewrite a record they drop the fields that they do not know.
@@ -166,39 +166,43 @@
             self._live = sorted({*self._live_source, self.base.settings.host_name})
         return self._live
 
-    def able(self) -> list[str]:
+    def available(self) -> list[str]:
         """Return the controllers that hold a lease and are neither suspected nor unable to read.
 
         Duties that two controllers may safely perform at once are assigned by this list.
         """
-        live, unavailable = self.live(), self.failure_detector.away
-        if self._able_source is None or self._able_source[0] is not live or self._able_source[1] is not unavailable:
-            self._able_source = live, unavailable
+        live, unavailable = self.live(), self.failure_detector.unavailable
+        if (
+            self._available_source is None
+            or self._available_source[0] is not live
+            or self._available_source[1] is not unavailable
+        ):
+            self._available_source = live, unavailable
             own_host = self.base.settings.host_name
-            self._able = [host for host in live if host not in unavailable or host == own_host]
-            if self.leaving and len(self._able) > 1:
-                self._able.remove(own_host)
+            self._available = [host for host in live if host not in unavailable or host == own_host]
+            if self.shutting_down and len(self._available) > 1:
+                self._available.remove(own_host)
             self._responsible.clear()
-        return self._able
+        return self._available
 
-    def foreman(self, key: str) -> str:
+    def responsible_controller(self, key: str) -> str:
         """Return the available controller that owns a key by rendezvous hashing."""
-        able = self.able()
+        available = self.available()
         found = self._responsible.get(key)
         if found is None:
             if len(self._responsible) > MAX_CACHED_OWNERS:
                 self._responsible.clear()
-            found = self._responsible[key] = max(able, key=lambda host: rendezvous_weight(host, key))
+            found = self._responsible[key] = max(available, key=lambda host: rendezvous_weight(host, key))
         return found
 
     def successors(self, key: str, number: int) -> list[str]:
         """Return the first `number` controllers that would take over a duty from this one, in order."""
         own_host = self.base.settings.host_name
-        return by_weight((host for host in self.able() if host != own_host), key)[:number]
+        return by_weight((host for host in self.available() if host != own_host), key)[:number]
 
     def owner_of(self, job_id: str, owner: str) -> str:
         """Return the controller that places a job: the one that accepted it, or that one's successor."""
-        return owner if owner in self.able() else self.foreman(job_id)
+        return owner if owner in self.available() else self.responsible_controller(job_id)
 
     def mine(self, job: Job) -> bool:
         """Whether this controller places a job."""
@@ -259,8 +263,8 @@
     """The peers that the sender doubts on its own evidence: see `standby/failure_detector.py`."""
     revision: Annotated[int, msgspec.Meta(ge=0)] | None = None
     """Up to which revision the sender has read the state service; the answer states the later cancellations."""
-    book: Book | None = None
-    """What the fleet leader knows, sent to its successors: see `standby/book.py`."""
+    book: LeaderNotes | None = None
+    """What the fleet leader knows, sent to its successors: see `standby/leader_notes.py`."""
 
 
 @dataclass
@@ -305,10 +309,10 @@
         self.base = base
         self.presence = presence
         self.failure_detector = presence.failure_detector
-        self.write_book: Callable[[], Book | None] = lambda: None
+        self.make_leader_notes: Callable[[], LeaderNotes | None] = lambda: None
         """Returns what the fleet leader tells its successors; None if this controller is not the leader."""
-        self.book: tuple[Book, int] | None = None
-        """The last book that came, and when."""
+        self.leader_notes: tuple[LeaderNotes, int] | None = None
+        """The last notes that came, and when."""
         self._on_duties_moved = moved
         self._on_statement = stated
         self._reports = reports
@@ -359,7 +363,7 @@
             # New doubts are sent at once, so that these peers probe the host themselves.
             self._wake_senders(self._first_successors(host))
         self._last_doubts = doubts
-        before = self.failure_detector.away
+        before = self.failure_detector.unavailable
         own_age_us = kernel.now_us - self.base.follower.read_us
         unavailable = self.failure_detector.evaluate(kernel.now_us, kernel.awake_us, self.presence.live(), own_age_us)
         if unavailable is before:
@@ -379,9 +383,9 @@
         doubts = self.failure_detector.doubts(now, base.kernel.awake_us)
         heartbeat: dict[str, Any] = {"doubts": doubts} if doubts else {}
         if leader == base.settings.host_name and host in self.presence.successors(FLEET, SUCCESSORS):
-            book = self.write_book()
-            if book is not None:
-                heartbeat["book"] = msgspec.to_builtins(book)
+            notes = self.make_leader_notes()
+            if notes is not None:
+                heartbeat["book"] = msgspec.to_builtins(notes)
         if base.follower.loaded:
             heartbeat["revision"] = base.follower.revision
         return heartbeat | {
@@ -466,7 +470,7 @@
             heard[name] = max(heard.get(name, 0), kernel.now_us - age_us)
         peer.heard = heard
         if message.book is not None:
-            self.book = message.book, kernel.now_us
+            self.leader_notes = message.book, kernel.now_us
         self.failure_detector.heartbeat(peer.host, kernel.now_us, message.state_age_us, message.doubts)
         self._wake_senders(self.failure_detector.peers_to_probe(kernel.now_us))
         self.evaluate()
@@ -485,7 +489,7 @@
         peers = [p for p in self.peers.values() if p.heartbeat_us > since_us and p.state_age_us < 2 * SECOND_US]
         return [peer.host for peer in sorted(peers, key=lambda peer: -peer.heartbeat_us)]
 
-    def alone(self, after_us: int) -> bool:
+    def isolated(self, after_us: int) -> bool:
         """Whether this controller has neither read the state service nor heard a peer for `after_us`.
 
         In an outage of the state service alone the peers still send heartbeats, so this controller is cut off, or all
@@ -495,13 +499,15 @@
         last_us = max((peer.heartbeat_us for peer in self.peers.values()), default=since_us)
         return last_us < since_us and self.base.follower.read_us < since_us
 
-    def given_up(self, key: str) -> str | None:
+    def successor_if_isolated(self, key: str) -> str | None:
         """Return the peer that owns a key after the lease of this isolated controller has expired.
 
         None while the lease may still be seen as held, while this controller is not isolated, or if no peer is left.
         """
         kernel = self.base.kernel
-        if kernel.now_us < self.presence.lease_until_us + LEASE_END_MARGIN_US or not self.alone(LEASE_END_MARGIN_US):
+        if kernel.now_us < self.presence.lease_until_us + LEASE_END_MARGIN_US or not self.isolated(
+            LEASE_END_MARGIN_US
+        ):
             return None
         return next(iter(self.presence.successors(key, 1)), None)
 
@@ -514,7 +520,7 @@
                     heard[name] = at_us
         return heard
 
-    def mute(self) -> set[str]:
+    def silent_peers(self) -> set[str]:
         """Return the live peers that send no heartbeats; workers may still report to them."""
         since_us = self.base.kernel.now_us - SILENT_PEER_INTERVALS * self.heartbeat_interval_us
         live = self.presence.live()
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -417,7 +417,7 @@
     def _shares_for(self, team: str, jobs: list[ShortJob]) -> Txn | None:
         """Return the transaction that raises this controller's share for the first job that can get more, or None."""
         prospects = Prospects(self.base.cluster_state, self.base.teams)
-        wants = self.grants.wants(team, self._queue, self._owner, self.presence.able(), prospects.can_be_placed)
+        wants = self.grants.wants(team, self._queue, self._owner, self.presence.available(), prospects.can_be_placed)
         for short in jobs:
             job = short.job
             txn = self.grants.reshare(team, job.spec, short.count, wants, short.turn, job.priority <= URGENT)
--- a/ashtray/standby/__init__.py
+++ b/ashtray/standby/__init__.py
@@ -6,8 +6,8 @@
 
 - `intents.py`: rental requests are recorded in the state service before the cloud gets them, so a successor of the
   fleet leader continues where its predecessor stopped.
-- `book.py`: the other knowledge that a fleet leader needs.  It is useful but not essential, and travels with the
-  heartbeats.
+- `leader_notes.py`: the other knowledge that a fleet leader needs.  It is useful but not essential, and travels with
+  the heartbeats.
 - `failure_detector.py`: detects failed controllers before their lease expires.  Its result is a *suspicion*, which
   suffices only for duties that two controllers may safely perform at once.
 - `takeover.py`: the checks before the first decision after a takeover, each with a name and the time it took.
--- a/ashtray/standby/failure_detector.py
+++ b/ashtray/standby/failure_detector.py
@@ -218,6 +218,6 @@
         return peer.read_stated_us > 0 and recent and UNREADABLE_US < peer.read_age_us < PLAUSIBLE_AGE_US
 
     @property
-    def away(self) -> frozenset[str]:
+    def unavailable(self) -> frozenset[str]:
         """The peers that were unavailable at the last evaluation."""
         return self._unavailable
--- a/ashtray/standby/book.py
+++ b/ashtray/standby/leader_notes.py
@@ -1,9 +1,9 @@
 """What a fleet leader has observed and tells its successors, so that they make better decisions.
 
-The book travels with the heartbeats to the first `SUCCESSORS` successors.  Each heartbeat has the whole book, so a
-lost one does no harm.  The book tells which deleted machines an outdated list of the cloud may still show, which
+The notes travel with the heartbeats to the first `SUCCESSORS` successors.  Each heartbeat has all notes, so a lost
+one does no harm.  The notes tell which deleted machines an outdated list of the cloud may still show, which
 kinds of machines the cloud has just refused, how long each kind takes to boot, and how long machines have been idle.
-No check waits for it: a successor without a book, or with an old one, decides like a leader that has just started.
+No check waits for them: a successor without notes, or with old ones, decides like a leader that has just started.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 import msgspec
 
 SUCCESSORS = 2
-"""The number of successors of the fleet leader that are sent its book."""
+"""The number of successors of the fleet leader that are sent its notes."""
 MAX_ENTRIES = 200
-"""The largest number of machines in each list of a book, about 4 KB."""
-OLD_US = 20_000_000
-"""The age beyond which a book is not used."""
+"""The largest number of machines in each list of the notes, about 4 KB."""
+MAX_NOTES_AGE_US = 20_000_000
+"""The age beyond which notes are not used."""
 Age = Annotated[int, msgspec.Meta(ge=0, le=10**15)]
 
 
-class Book(msgspec.Struct, omit_defaults=True):
+class LeaderNotes(msgspec.Struct, omit_defaults=True):
     """The observations of a fleet leader; ages and pauses are in microseconds, relative to when it was sent."""
 
     term: int
-    """The term of the writer: a book tells nothing of later terms."""
+    """The term of the writer: its notes tell nothing of later terms."""
     gone: dict[str, Age] = {}
     """The deleted machines, and how long ago each was deleted."""
     idle: dict[str, Age] = {}
@@ -39,7 +39,7 @@
     """Machines that have missed some reports, and how long ago any controller last heard each."""
 
 
-def latest(ages: dict[str, int]) -> dict[str, int]:
+def youngest_entries(ages: dict[str, int]) -> dict[str, int]:
     """Return the `MAX_ENTRIES` entries of the lowest age, or all if there are fewer."""
     if len(ages) <= MAX_ENTRIES:
         return ages
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -178,15 +178,16 @@
         name: str,
         queue: Iterable[Job],
         owner: Callable[[Job], str],
-        able: Iterable[str],
+        available: Iterable[str],
         has_prospects: Callable[[Job], bool] = lambda job: True,
     ) -> dict[str, Demand]:
         """Return what the waiting tasks of a team need, by the controller that places them.
 
-        `able` are the controllers that can place.  One that is missing in the result places nothing any more: it is
-        gone, or its jobs have moved to peers.  A job without prospects (`placement/prospects.py`) needs nothing now.
+        `available` are the controllers that can place.  One that is missing in the result places nothing any more: it
+        is gone, or its jobs have moved to peers.  A job without prospects (`placement/prospects.py`) needs nothing
+        now.
         """
-        found = dict.fromkeys(able, NO_DEMAND)
+        found = dict.fromkeys(available, NO_DEMAND)
         waiting = self.cluster_state.waiting()
         for turn, job in enumerate(queue):
             if job.spec.team == name and has_prospects(job):
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -160,7 +160,9 @@
         groups = []
         for group in base.cluster_state.groups.values():
             too_large = group.size > max_bytes and (len(group.machines) > 1 or group.packed is None)
-            if (group.moving or too_large) and self.presence.foreman(group.key) == base.settings.host_name:
+            if (group.moving or too_large) and self.presence.responsible_controller(
+                group.key
+            ) == base.settings.host_name:
                 groups.append(group)
         return sorted(groups, key=lambda group: (not group.moving, -group.size))
 
@@ -175,7 +177,7 @@
             key = f"{base}+{n}"
             if key in taken or cluster_state.version(key):
                 continue
-            if presence.foreman(key) == self.base.settings.host_name:
+            if presence.responsible_controller(key) == self.base.settings.host_name:
                 break
         return key
 
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -110,13 +110,13 @@
             self.kernel.answer(request_id, 503, {"error": "old report"})
             return
         worker.newest = report.session, report.tick
-        foreman = self._foreman(worker, report)
-        if foreman is not None:
+        redirect_target = self._redirect_target(worker, report)
+        if redirect_target is not None:
             worker.redirected_us = self.kernel.now_us
             worker.token, worker.token_confirmed = 0, False
             worker.report = None
             worker.running_since_us.clear()
-            self.kernel.answer(request_id, 421, {"foreman": foreman})
+            self.kernel.answer(request_id, 421, {"foreman": redirect_target})
             return
         if not self.renewal.may_renew(self.kernel.now_us, self.base.follower.read_us):
             # Safety point 5: a peer may have confirmed cancellations that this controller does not know of.
@@ -150,7 +150,7 @@
         self.kernel.answer(request_id, 200, messages.report_answer(worker.token, orders[:MAX_ORDERS]))
         self.reconcile(worker)
 
-    def _foreman(self, worker: Worker, report: Report) -> str | None:
+    def _redirect_target(self, worker: Worker, report: Report) -> str | None:
         """Return the controller that this worker should report to instead, or None; safety does not depend on it."""
         now = self.kernel.now_us
         if now < worker.keep_until_us:
@@ -158,9 +158,9 @@
         machine = self.base.cluster_state.machines.get(worker.name)
         # New machines of a type and zone report to the same controller, which can add them to groups together.
         key = machine.group if machine is not None else f"{report.type}.{report.zone}"
-        foreman = self.presence.foreman(key)
-        if foreman == self.base.settings.host_name:
-            elsewhere = self.peers.given_up(key)
+        redirect_target = self.presence.responsible_controller(key)
+        if redirect_target == self.base.settings.host_name:
+            elsewhere = self.peers.successor_if_isolated(key)
             if elsewhere is not None:
                 # A controller cut off from its peers redirects its workers once others own them.  Workers that come
                 # back are kept.
@@ -170,7 +170,7 @@
             # The worker was redirected there a moment ago and is back, so it cannot reach that controller.
             worker.keep_until_us = now + KEEP_WORKER_US
             return None
-        return foreman
+        return redirect_target
 
     def _take_report(self, worker: Worker, report: Report, direct: bool = False) -> None:
         """Update what is known of a worker from its newest report, and claim it with a new token where needed.
--- a/tests/model.py
+++ b/tests/model.py
@@ -170,10 +170,12 @@
         core = host.core
         core.kernel.strict = True
         # Where a worker is redirected to and which controller places a job are hints: no rule may depend on them.
-        foreman = core.worker_manager._foreman
+        redirect_target = core.worker_manager._redirect_target
         placing = core.placer if host.old else core.presence
         mine = placing.mine
-        core.worker_manager._foreman = lambda *args: None if self.now < self.roaming_until else foreman(*args)
+        core.worker_manager._redirect_target = lambda *args: (
+            None if self.now < self.roaming_until else redirect_target(*args)
+        )
         placing.mine = lambda job: self.now < self.all_place_until or mine(job)
         self.carry_out(host, host.core.start(*self.clock(host)))
         self._controller_starts(host)
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -17,8 +17,8 @@
     ),
     "told-silence-is-not-passed-on": (
         INVENTORY,
-        "min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=True)",
-        "min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=False)",
+        "min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=True",
+        "min(self.kernel.now_us, self.peers.all_heard_until_us(unheard)), informed=False",
     ),
     "silent-since-before-all-ended": (
         INVENTORY,
@@ -27,7 +27,7 @@
     ),
     "fleet-taken-from-a-live-runner": (
         FLEET_LEASE,
-        "return is_own_host or (first and holder in self.presence.failure_detector.away)",
+        "return is_own_host or (first and holder in self.presence.failure_detector.unavailable)",
         "return is_own_host or first",
     ),
     "a-zone-cut-off-is-renewed-for-ever": (
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -275,8 +275,8 @@
     ),
     "mute-is-silent": (
         INVENTORY,
-        "found[name] = 0 if unheard and presence.foreman(machine.group) in unheard else max(until_us - last, 0)",
-        "found[name] = max(until_us - last, 0)",
+        "if unheard and presence.responsible_controller(machine.group) in unheard",
+        "if False",
     ),
     "term-outlives-lease": (FLEET_LEASE, "if self.running and not self.holds():", "if False:"),
     "late-list-condemns": (
@@ -355,7 +355,7 @@
         "worker.keep_until_us = now + KEEP_WORKER_US\n            return self.peers",
         "pass\n            return self.peers",
     ),
-    "alone-is-well": ("ashtray/controller.py", " or self.peers.alone(CUT_OFF_US)", ""),
+    "alone-is-well": ("ashtray/controller.py", " or self.peers.isolated(CUT_OFF_US)", ""),
     "copy-is-a-report": (WORKER_MANAGER, "if (report.session, report.tick) <= worker.newest:", "if False:"),
     "token-below-the-record": (
         WORKER_MANAGER,
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -20,8 +20,8 @@
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.rules import FEW_GROUPS, PREFERENCES, MachineCapacity, PlacementRequest, rank, valid
 from ashtray.placement.state_keys import GROUP
-from ashtray.standby.book import latest
 from ashtray.standby.intents import Intent, Intents
+from ashtray.standby.leader_notes import youngest_entries
 from ashtray.store.client import Limits
 from ashtray.workers.folding import adoption, group_size
 from ashtray.workers.messages import Report, parse_report, parse_task
@@ -123,7 +123,7 @@
 
 
 def test_what_the_fleet_leader_stores_for_its_successor_is_bounded() -> None:
-    assert len(latest(dict.fromkeys(machine_names(10_000), 5))) <= 1_000
+    assert len(youngest_entries(dict.fromkeys(machine_names(10_000), 5))) <= 1_000
     intents = Intents()
     batch = [Intent(f"r-{n}", "big", "a", True, 50, n, machine_names(50)) for n in range(2_000)]
     intents.begin(batch)
--- a/tests/test_meetings_close_looks.py
+++ b/tests/test_meetings_close_looks.py
@@ -106,7 +106,7 @@
         core = self.hosts[number].core
         if core is None:
             return "down"
-        if core.presence.leaving:
+        if core.presence.shutting_down:
             return "handing over"
         if core.follower.loaded:
             self.loaded_us.setdefault(number, self.now)
@@ -166,7 +166,7 @@
             self.far[victim] = (self.now + SECOND // 2, SLOW_READ_US)
         elif fault is Fault.RESTART:
             self.crash(victim, rng.uniform(0.02, 0.3))
-        elif fault is Fault.HANDOVER and not host.core.presence.leaving:
+        elif fault is Fault.HANDOVER and not host.core.presence.shutting_down:
             self.hand_over(victim, rng.uniform(0.02, 0.3))
         elif fault is Fault.REFUSED:
             self.refuse(victim, rng.uniform(0.2, 1.5), rng.choice(list(Refusal)))
--- a/tests/test_meetings_cut_leader.py
+++ b/tests/test_meetings_cut_leader.py
@@ -61,7 +61,7 @@
     model.begin(batch(n) for n in range(6))
     leader = max(range(hosts), key=lambda number: len(owned_by(model, number)))
     # Redirecting workers to another controller is a hint that may fail, so no rule may rely on it.
-    model.hosts[leader].core.worker_manager._foreman = lambda *_: None
+    model.hosts[leader].core.worker_manager._redirect_target = lambda *_: None
     owned = owned_by(model, leader)
     assert owned
     return model, leader, owned
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -72,7 +72,7 @@
 def keep_reporting_to_owner(model: Model, number: int) -> None:
     """The owner's workers go on reporting to it: redirecting them to another controller is a hint that may fail."""
     worker_manager = model.hosts[number].core.worker_manager
-    worker_manager._foreman = lambda worker, report: None
+    worker_manager._redirect_target = lambda worker, report: None
 
 
 def refuse(model: Model, number: int, how: str, seconds: float) -> None:
--- a/tests/test_meetings_handovers.py
+++ b/tests/test_meetings_handovers.py
@@ -312,7 +312,7 @@
     if not redirected:
         # Redirecting its workers to others is a hint that may fail, so no rule may rely on it.  The others cannot
         # reach the cloud either, so they delete no machine.
-        model.hosts[isolated].core.worker_manager._foreman = lambda *_: None
+        model.hosts[isolated].core.worker_manager._redirect_target = lambda *_: None
         for number in others:
             model.cut(f"c{number}", "cloud", cut_s, False)
     for target in ("state", "cloud", "user", *(f"c{n}" for n in others), *(set(model.workers) - in_zone_b)):
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -147,7 +147,7 @@
         model.waiting[10**9] = lambda status, body: None
         model.carry_out(host, host.core.peer_request(*model.clock(host), 10**9, "POST", "/peer/word", late))
         model.run(4)
-        assert "berth-2" in host.core.presence.able()
+        assert "berth-2" in host.core.presence.available()
 
 
 def test_a_restarted_controller_uses_a_limit_share_only_after_its_own_fence() -> None:
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -266,7 +266,7 @@
     model.crash(2, 60)
     model.run(2.5)
     others = [host for host in model.hosts if host.core is not None]
-    assert all("berth-2" not in host.core.presence.able() for host in others)
+    assert all("berth-2" not in host.core.presence.available() for host in others)
     # Duties that two controllers must not perform at once wait for the end of the lease.
     assert all("berth-2" in host.core.presence.live() for host in others)
     assert CONTROLLER + "berth-2" in model.state.keys
@@ -278,7 +278,7 @@
     model.cut("c2", "c0", 8, False)
     for _ in range(60):
         model.run(0.2)
-        assert all("berth-2" in host.core.presence.able() for host in model.hosts)
+        assert all("berth-2" in host.core.presence.available() for host in model.hosts)
 
 
 def test_a_controller_cut_off_only_from_its_peers_takes_its_duties_back() -> None:
@@ -287,9 +287,9 @@
     for other in (0, 1, 3, 4):
         model.cut("c2", f"c{other}", 60, False)
     model.run(8)
-    assert "berth-2" not in model.hosts[0].core.presence.able()
+    assert "berth-2" not in model.hosts[0].core.presence.available()
     model.run(MAX_SUSPICION_US / SECOND + 2)
-    assert all("berth-2" in host.core.presence.able() for host in model.hosts)
+    assert all("berth-2" in host.core.presence.available() for host in model.hosts)
 
 
 def test_a_leader_that_cannot_read_is_replaced_before_its_lease_ends() -> None:
@@ -353,7 +353,7 @@
     now = SECOND
     for pause, (what, host, doubts) in events:
         now += pause
-        before = detector.away
+        before = detector.unavailable
         if what == "word":
             detector.heartbeat(host, now, 0, doubts)
         else:
