--- a/ashtray/daemon/server.py
+++ b/ashtray/daemon/server.py
@@ -23,7 +23,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Settings
 from ashtray.controller import Controller
-from ashtray.inbox import FOR_EVER_US, Inbox, Rank, rank_of, rank_of_reply
+from ashtray.inbox import NO_TIMEOUT_US, Inbox, Rank, rank_of, rank_of_reply
 from ashtray.jobs.messages import MAX_BODY
 from ashtray.kernel import Answer, Call, Log, Output, Reply, Send
 
@@ -145,7 +145,7 @@
         """Return whether the inbox is empty and the core has used less than `TURN_S` in this turn."""
         if self._inbox or self._core_time_s >= TURN_S:
             return False
-        self.core.kernel.behind_us = 0
+        self.core.kernel.input_delay_us = 0
         return True
 
     def _take(self, take: Callable[[], list[Output]]) -> None:
@@ -170,7 +170,7 @@
         rank: Rank,
         take: Callable[[], list[Output]],
         refuse: Callable[[], list[Output]] | None = None,
-        patience_us: int = FOR_EVER_US,
+        patience_us: int = NO_TIMEOUT_US,
     ) -> None:
         """Pass an input to the core: at once, or through the inbox if the process is behind."""
         if self._keeps_up():
@@ -191,15 +191,15 @@
         self._draining = False
         until_s = time.monotonic() + TURN_S
         now_us = self.now()[0]
-        behind_us = self._inbox.behind_us(now_us)
-        if behind_us > BEHIND_LOG_US and now_us > self._logged_us + LOG_INTERVAL_US:
+        input_delay_us = self._inbox.input_delay_us(now_us)
+        if input_delay_us > BEHIND_LOG_US and now_us > self._logged_us + LOG_INTERVAL_US:
             log.info(
                 "behind by %.1f s: reports are taken first, %d requests were refused",
-                behind_us / 1e6,
+                input_delay_us / 1e6,
                 self._inbox.refused,
             )
             self._logged_us, self._inbox.refused = now_us, 0
-        self.core.kernel.behind_us = behind_us
+        self.core.kernel.input_delay_us = input_delay_us
         try:
             while self._inbox and time.monotonic() < until_s:
                 self.carry_out(self._inbox.take(self.now()[0]))
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -113,7 +113,7 @@
             if not self.inventory.listed_us or not self._list_complete():
                 return
             takeover.ok(Check.LIST, self.kernel.now_us)
-        if self.kernel.awake_us > takeover.began_us or not self.lease.holds():
+        if self.kernel.not_stalled_since_us > takeover.began_us or not self.lease.holds():
             self._restart_checks()
             return
         takeover.ok(Check.AWAKE, self.kernel.now_us)
--- a/ashtray/fleet/machine_inventory.py
+++ b/ashtray/fleet/machine_inventory.py
@@ -171,13 +171,13 @@
         now = self.kernel.now_us
         presence = self.presence
         heard = self.peers.last_heard()
-        awake_us = self.kernel.awake_us
+        not_stalled_since_us = self.kernel.not_stalled_since_us
         found = {}
         for name, machine in self.base.cluster_state.machines.items():
-            last = max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)
+            last = max(heard.get(name, 0), self.known_since.setdefault(name, now), not_stalled_since_us)
             told_us = self.predecessor_heard_us.get(name)
             if informed and told_us is not None:
-                last = max(heard.get(name, 0), told_us, awake_us)
+                last = max(heard.get(name, 0), told_us, not_stalled_since_us)
             found[name] = (
                 0
                 if unheard and presence.responsible_controller(machine.group) in unheard
--- a/ashtray/inbox.py
+++ b/ashtray/inbox.py
@@ -16,7 +16,7 @@
 from ashtray.kernel import SECOND_US, Call, Output
 from ashtray.peers import announcements
 
-FOR_EVER_US = 1 << 62
+NO_TIMEOUT_US = 1 << 62
 REPORT_TIMEOUT_US = 4 * SECOND_US
 """How long a worker waits for the answer to a report (protocol, "Workers -> controller nodes")."""
 QUERY_TIMEOUT_US, SUBMISSION_TIMEOUT_US, HEALTH_CHECK_TIMEOUT_US = 1_500_000, 4 * SECOND_US, SECOND_US
@@ -52,7 +52,7 @@
     if path.endswith("/abort"):
         return Rank.DUTIES, SUBMISSION_TIMEOUT_US
     if path in ("/peer/word", announcements.PATH):
-        return Rank.DUTIES, FOR_EVER_US
+        return Rank.DUTIES, NO_TIMEOUT_US
     return Rank.USERS, SUBMISSION_TIMEOUT_US if path in ("/submissions", "/peer/request") else QUERY_TIMEOUT_US
 
 
@@ -86,7 +86,7 @@
     def __bool__(self) -> bool:
         return any(self._waiting.values())
 
-    def behind_us(self, now_us: int) -> int:
+    def input_delay_us(self, now_us: int) -> int:
         """Return for how many microseconds the oldest input has waited; 0 if none waits."""
         return max((now_us - queue[0].arrived_us for queue in self._waiting.values() if queue), default=0)
 
@@ -96,7 +96,7 @@
         rank: Rank,
         take: Callable[[], list[Output]],
         refuse: Callable[[], list[Output]] | None = None,
-        timeout_us: int = FOR_EVER_US,
+        timeout_us: int = NO_TIMEOUT_US,
     ) -> list[Output]:
         """Queue an input.  Returns the outputs of its refusal if it is refused at once, otherwise an empty list."""
         queue = self._waiting[rank]
--- a/ashtray/kernel.py
+++ b/ashtray/kernel.py
@@ -115,10 +115,10 @@
     """Raise unexpected exceptions instead of logging them.  Tests set this."""
     now_us: int = 0
     wall_us: int = 0
-    awake_us: int = 0
+    not_stalled_since_us: int = 0
     """The monotonic time since which this process has not been stalled.  A message that did not arrive before this
     time proves nothing about its sender."""
-    behind_us: int = 0
+    input_delay_us: int = 0
     """How long inputs wait before they are processed.  Work that is not urgent is done less often by as much."""
     out: list[Output] = field(default_factory=list)
     _ids: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
@@ -134,7 +134,7 @@
         self._coroutines[coroutine_id] = coroutine
         self._ready.append((coroutine_id, None))
 
-    def forever(self, create: Callable[[], Coroutine[Any]], every_us: int) -> None:
+    def spawn_repeating(self, create: Callable[[], Coroutine[Any]], every_us: int) -> None:
         """Start a coroutine that runs `create()` repeatedly, with a pause of `every_us` after each run."""
 
         def loop() -> Coroutine[None]:
@@ -144,7 +144,7 @@
                 except Exception:
                     # An unexpected exception in one component must not stop the other components, and must not stop
                     # this component permanently.
-                    self.unforeseen()
+                    self.log_unexpected_exception()
                     yield Sleep(SECOND_US)
                 yield Sleep(every_us)
 
@@ -163,7 +163,7 @@
         if level != "debug" or self.verbose:
             self.out.append(Log(level, line))
 
-    def unforeseen(self) -> None:
+    def log_unexpected_exception(self) -> None:
         """Log the exception being handled, which is a fault in this program; raise it again if `strict` is set."""
         if self.strict:
             raise  # noqa: PLE0704
@@ -186,7 +186,7 @@
         if due_us is None or self.now_us - due_us > STALL_US:
             if due_us is not None:
                 self.log("info", f"stood still for {(self.now_us - due_us) / SECOND_US:.1f} s")
-            self.awake_us = self.now_us
+            self.not_stalled_since_us = self.now_us
         self.wall_us = wall_us
         while self._timers and self._timers[0][0] <= self.now_us:
             _, timer_id, coroutine_id = heapq.heappop(self._timers)
@@ -220,7 +220,7 @@
             return
         except Exception:
             del self._coroutines[coroutine_id]
-            self.unforeseen()
+            self.log_unexpected_exception()
             return
         if isinstance(awaited, Call):
             call_id = next(self._ids)
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -337,7 +337,7 @@
             self.failure_detector.called(peer.host, reply.refused, reply.status != 0)
             self.evaluate()
             # A peer that refused the connection is called again as soon as another refusal would be evidence.
-            doubt_us = self.failure_detector.until_doubt_us(peer.host, kernel.now_us, kernel.awake_us)
+            doubt_us = self.failure_detector.until_doubt_us(peer.host, kernel.now_us, kernel.not_stalled_since_us)
             pause_us = (
                 min(doubt_us + MIN_HEARTBEAT_PAUSE_US, self.heartbeat_interval_us)
                 if reply.refused and doubt_us
@@ -358,14 +358,16 @@
     def evaluate(self) -> None:
         """Re-evaluate which peers are suspected or unable to read the state service; report a change of duties."""
         kernel = self.base.kernel
-        doubts = set(self.failure_detector.doubts(kernel.now_us, kernel.awake_us))
+        doubts = set(self.failure_detector.doubts(kernel.now_us, kernel.not_stalled_since_us))
         for host in doubts - self._last_doubts:
             # New doubts are sent at once, so that these peers probe the host themselves.
             self._wake_senders(self._first_successors(host))
         self._last_doubts = doubts
         before = self.failure_detector.unavailable
         own_age_us = kernel.now_us - self.base.follower.read_us
-        unavailable = self.failure_detector.evaluate(kernel.now_us, kernel.awake_us, self.presence.live(), own_age_us)
+        unavailable = self.failure_detector.evaluate(
+            kernel.now_us, kernel.not_stalled_since_us, self.presence.live(), own_age_us
+        )
         if unavailable is before:
             return
         for host in sorted(unavailable - before):
@@ -380,7 +382,7 @@
         leader = base.cluster_state.fleet[0].get("host") if base.cluster_state.fleet is not None else None
         now = base.kernel.now_us
         ages = {name: now - at_us for name, at_us in self._reports().items()} if host == leader else {}
-        doubts = self.failure_detector.doubts(now, base.kernel.awake_us)
+        doubts = self.failure_detector.doubts(now, base.kernel.not_stalled_since_us)
         heartbeat: dict[str, Any] = {"doubts": doubts} if doubts else {}
         if leader == base.settings.host_name and host in self.presence.successors(FLEET, SUCCESSORS):
             notes = self.make_leader_notes()
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -147,7 +147,7 @@
                 )
                 # A controller that lags behind plans less often: otherwise its decisions, and its handling of
                 # reports, are late.
-                yield Sleep(ROUND_PAUSE_US * 2**self._idle_rounds + work_us + self.base.kernel.behind_us)
+                yield Sleep(ROUND_PAUSE_US * 2**self._idle_rounds + work_us + self.base.kernel.input_delay_us)
 
     def changed(self) -> None:
         """Wake the placement loop if the cluster state has changed since the last round."""
--- a/ashtray/standby/failure_detector.py
+++ b/ashtray/standby/failure_detector.py
@@ -135,21 +135,21 @@
 
     # Conclusions
 
-    def doubts(self, now_us: int, awake_us: int) -> list[str]:
+    def doubts(self, now_us: int, not_stalled_since_us: int) -> list[str]:
         """The peers that this controller doubts on its own evidence.
 
-        `awake_us` is when this process last resumed after a pause.
+        `not_stalled_since_us` is when this process last resumed after a pause.
         """
-        return [host for host in self.peers if self.until_doubt_us(host, now_us, awake_us) == 0]
+        return [host for host in self.peers if self.until_doubt_us(host, now_us, not_stalled_since_us) == 0]
 
-    def until_doubt_us(self, host: str, now_us: int, awake_us: int) -> int:
+    def until_doubt_us(self, host: str, now_us: int, not_stalled_since_us: int) -> int:
         """Return the time until a peer is doubted if calls to it keep ending as the last one did.
 
         0 means that it is doubted now, `NEVER_US` that no call to it has failed since its last heartbeat.
         """
         peer = self.peers[host]
         # Heartbeats that came while this process was paused have not been read yet.
-        quiet_us = now_us - max(peer.heartbeat_us, awake_us)
+        quiet_us = now_us - max(peer.heartbeat_us, not_stalled_since_us)
         if peer.refused:
             return max(int(REFUSED_INTERVALS * self.heartbeat_interval_us) + REFUSED_SLACK_US - quiet_us, 0)
         if peer.unanswered:
@@ -165,7 +165,9 @@
             if not peer.refused and not peer.unanswered and any(at > since_us for at in peer.doubted_by.values())
         ]
 
-    def evaluate(self, now_us: int, awake_us: int, live: list[str], own_read_age_us: int) -> frozenset[str]:
+    def evaluate(
+        self, now_us: int, not_stalled_since_us: int, live: list[str], own_read_age_us: int
+    ) -> frozenset[str]:
         """Return the peers that are unavailable: suspected, or unable to read the state service.
 
         `live` names the controllers that hold a lease; `own_read_age_us` is the age of this controller's last read.
@@ -174,7 +176,7 @@
         unavailable = set()
         for host, peer in self.peers.items():
             self._follow_lease(peer, host in live, now_us)
-            doubted = self.until_doubt_us(host, now_us, awake_us) == 0
+            doubted = self.until_doubt_us(host, now_us, not_stalled_since_us) == 0
             if peer.suspected_since_us is None and peer.heard and host in live and doubted:
                 self._suspect_if_confirmed(host, live, now_us)
             unreadable = own_read_age_us < OWN_READ_US and self._cannot_read(peer, now_us)
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -101,7 +101,9 @@
                     max(self.controllers / (FOLLOW_SHARE * self.store.limits.rps) * SECOND_US, MIN_ROUND_US)
                 )
                 # A process that is behind polls less often: the changes that it reads go before the waiting inputs.
-                remaining_us = pause_us - (self.kernel.now_us - began_us) + min(self.kernel.behind_us, MAX_DELAY_US)
+                remaining_us = (
+                    pause_us - (self.kernel.now_us - began_us) + min(self.kernel.input_delay_us, MAX_DELAY_US)
+                )
                 if remaining_us > 0 and not self._urgent:
                     yield Wait(self._wake_signal, remaining_us)
             else:
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -126,7 +126,7 @@
             # Request and write budgets must not delay a message here.
             limiter.bucket.rate = limiter.bucket.level = 1e9
             limiter.bucket.at_us = self.now_us
-        core.kernel.forever(core.follower.run, 0)
+        core.kernel.spawn_repeating(core.follower.run, 0)
         self.inputs = 0
         """A hash of all inputs so far, which determine the state of the controller."""
 
--- a/tests/model.py
+++ b/tests/model.py
@@ -16,7 +16,7 @@
 
 from ashtray.config.operators import OperatorSettings
 from ashtray.controller import Controller
-from ashtray.inbox import FOR_EVER_US, Inbox, Rank, rank_of, rank_of_reply
+from ashtray.inbox import NO_TIMEOUT_US, Inbox, Rank, rank_of, rank_of_reply
 from ashtray.kernel import Answer, Call, Output, Reply
 from tests.fakes.cloud import Cloud, Rented
 from tests.fakes.state import State
@@ -265,7 +265,7 @@
         life: int,
         take: Callable[[Controller], list[Output]],
         rank: Rank = Rank.DUTIES,
-        patience_us: int = FOR_EVER_US,
+        patience_us: int = NO_TIMEOUT_US,
         refuse: Callable[[], list[Output]] | None = None,
     ) -> None:
         """Give a core an input: at once, through its inbox where it is slow, or later if its process is paused."""
@@ -292,7 +292,7 @@
         """Let a slow controller take one input from its inbox."""
         if host.core is None or host.life != life:
             return
-        host.core.kernel.behind_us = host.inbox.behind_us(self.now)
+        host.core.kernel.input_delay_us = host.inbox.input_delay_us(self.now)
         self.carry_out(host, host.inbox.take(self.now))
         host.busy = False
         if host.inbox:
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -22,7 +22,7 @@
     ),
     "silent-since-before-all-ended": (
         INVENTORY,
-        "max(heard.get(name, 0), self.known_since.setdefault(name, now), awake_us)",
+        "max(heard.get(name, 0), self.known_since.setdefault(name, now), not_stalled_since_us)",
         "max(heard.get(name, 0), min(self.known_since.setdefault(name, now), 0))",
     ),
     "fleet-taken-from-a-live-runner": (
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -176,7 +176,7 @@
     ),
     "a-halt-is-silence": (
         "ashtray/standby/failure_detector.py",
-        "quiet_us = now_us - max(peer.heartbeat_us, awake_us)",
+        "quiet_us = now_us - max(peer.heartbeat_us, not_stalled_since_us)",
         "quiet_us = now_us - peer.heartbeat_us",
     ),
     "what-was-heard-is-taken-back": ("ashtray/peers/presence.py", "if at_us > since_us}\n", "if False}\n"),
@@ -270,7 +270,7 @@
     ),
     "silence-while-halted": (
         INVENTORY,
-        "self.known_since.setdefault(name, now), awake_us)",
+        "self.known_since.setdefault(name, now), not_stalled_since_us)",
         "self.known_since.setdefault(name, now))",
     ),
     "mute-is-silent": (
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -284,7 +284,7 @@
     for peer in core.peers.peers.values():
         peer.heartbeat_us = later
     assert min(core.fleet_manager.inventory.silences().values()) > 50 * SECOND
-    core.kernel.awake_us = later
+    core.kernel.not_stalled_since_us = later
     assert max(core.fleet_manager.inventory.silences().values()) == 0
 
 
--- a/tests/test_inbox.py
+++ b/tests/test_inbox.py
@@ -10,7 +10,7 @@
 
 from ashtray.daemon import server
 from ashtray.daemon.server import LOG_INTERVAL_US, TURN_S, Daemon, Lateness
-from ashtray.inbox import FOR_EVER_US, MAX_WAITING_USERS, USERS_EVERY, Inbox, Rank, rank_of
+from ashtray.inbox import MAX_WAITING_USERS, NO_TIMEOUT_US, USERS_EVERY, Inbox, Rank, rank_of
 from ashtray.kernel import Answer, Output
 from tests.model import Model, submission
 
@@ -21,7 +21,7 @@
     return [Answer(number, status)]
 
 
-def put(inbox: Inbox, now_us: int, number: int, rank: Rank, timeout_us: int = FOR_EVER_US) -> list[Output]:
+def put(inbox: Inbox, now_us: int, number: int, rank: Rank, timeout_us: int = NO_TIMEOUT_US) -> list[Output]:
     return inbox.put(now_us, rank, lambda: answered(number, 200), lambda: answered(number, 503), timeout_us)
 
 
@@ -102,7 +102,7 @@
         daemon.loop = asyncio.get_running_loop()
         daemon._inbox, daemon._draining, daemon._logged_us, daemon._lateness = Inbox(), False, 0, None
         daemon._core_time_s, daemon._turn_end_scheduled = 0.0, False
-        daemon.core = SimpleNamespace(kernel=SimpleNamespace(behind_us=0))
+        daemon.core = SimpleNamespace(kernel=SimpleNamespace(input_delay_us=0))
         daemon.carry_out = taken.extend
 
         def busy(number: int, spent_s: float) -> list[Output]:
@@ -135,7 +135,7 @@
     later, taken = [], []
     daemon.loop = SimpleNamespace(call_soon=later.append)
     daemon._inbox, daemon._draining, daemon._logged_us, daemon._core_time_s = Inbox(), False, 0, TURN_S
-    daemon.core = SimpleNamespace(kernel=SimpleNamespace(behind_us=0))
+    daemon.core = SimpleNamespace(kernel=SimpleNamespace(input_delay_us=0))
     daemon.carry_out = taken.extend
     daemon._input(Rank.LEASES, lambda: 1 // 0)
     daemon._input(Rank.USERS, lambda: answered(1, 200))
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -591,7 +591,7 @@
         core.kernel.advance(SECOND, SECOND)
         for bucket in (core.store.requests.bucket, core.store.changes.bucket):
             bucket.at_us = SECOND
-        core.kernel.forever(core.follower.run, 0)
+        core.kernel.spawn_repeating(core.follower.run, 0)
         self._collect(controller, core.kernel.run())
         while not core.follower.loaded:
             self._answer_read(controller)
