--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -115,7 +115,7 @@
     def _note_cancelled_elsewhere(self, job_ids: list[str]) -> None:
         """Record cancellations that a peer knows and this controller may not have read, and end the jobs' tasks."""
         if self.cluster_state.note_cancelled_elsewhere(job_ids):
-            self.worker_manager.tend_all(self.cluster_state.take_touched())
+            self.worker_manager.reconcile_all(self.cluster_state.take_touched())
 
     def _on_peer_cancellations(self, host: str, asked_us: int, cancelled: list[str]) -> None:
         """Handle a peer's statement of all cancellations that it knows and this controller had not read."""
@@ -151,10 +151,10 @@
         if self.cluster_state.changes != self._seen_changes:
             self._seen_changes = self.cluster_state.changes
             self.placer.changed()
-            self.worker_manager.tend_all(self.cluster_state.take_touched())
+            self.worker_manager.reconcile_all(self.cluster_state.take_touched())
         if self.cluster_state.unconfirmed():
             # The next stage of a pipeline may wait for these records.
-            self.follower.hurry()
+            self.follower.start_round_now()
 
     def _log_counters(self) -> Coroutine[None]:
         """Log, at level debug, what the shared request budgets and the working time were spent on."""
@@ -209,13 +209,13 @@
         kernel.spawn_repeating(self.fleet_manager.round, 0)
         kernel.spawn_repeating(self.worker_manager.fold, 0)
         kernel.spawn_repeating(self.worker_manager.adopt, 0)
-        kernel.spawn_repeating(self.worker_manager.tidy, SECOND_US)
+        kernel.spawn_repeating(self.worker_manager.move_completed_jobs, SECOND_US)
         kernel.spawn_repeating(self.splitter.run, 0)
         kernel.spawn_repeating(self.estimate_store.run, 0)
         kernel.spawn_repeating(self.jobs.states.resolve, 0)
         kernel.spawn_repeating(self.jobs.cancelling.bury, 0)
         kernel.spawn_repeating(self._log_counters, COUNTERS_INTERVAL_US)
-        kernel.spawn_repeating(self.worker_manager.sweep, 20 * SECOND_US)
+        kernel.spawn_repeating(self.worker_manager.forget_silent_workers, 20 * SECOND_US)
         return kernel.run()
 
     def wake(self, now_us: int, wall_us: int) -> list[Output]:
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -163,8 +163,8 @@
         yield from self._fence()
         self.counts["rounds"] += 1
         plan = self.planner.plan()
-        plan.add_freed(self.worker_manager.light().freed)
-        plan.due_groups = self.worker_manager.due()
+        plan.add_freed(self.worker_manager.group_only_fold().freed)
+        plan.due_groups = self.worker_manager.groups_to_fold()
         plan.writes_scarce = base.store.changes.scarce()
         jobs, guaranteed = self.planner.queue()
         self._queue = list(jobs)
@@ -249,7 +249,7 @@
                     if not mine and urgent:
                         urgent_since_us.setdefault(job.id, self._urgent_since_us.get(job.id, round_began_us))
                         if any(id(capacity) in freed for capacity, _ in choices):
-                            self.worker_manager.hurry()
+                            self.worker_manager.fold_now()
                     break
                 if not job.suspect and ((job.spec.kind == "gang" and urgent) or job.id in guaranteed):
                     if plan.reserve_stopping_capacity(job, need, within_s):
@@ -492,7 +492,7 @@
             if committed:
                 for line in lines:
                     base.kernel.log("info", line)
-                self.worker_manager.folded(self._last_folded)
+                self.worker_manager.mark_folded(self._last_folded)
                 return len(lines) == len(batch.items)
             yield Sleep(int(base.kernel.rng.uniform(0.0, 0.02) * min(2**retry, 16) * SECOND_US))
             if not (yield from base.follower.barrier()):
@@ -521,7 +521,7 @@
         cluster_state = base.cluster_state
         txn = Txn()
         lines.clear()
-        fold = self.worker_manager.light(batch.groups - full)
+        fold = self.worker_manager.group_only_fold(batch.groups - full)
         draft = Draft(cluster_state, self.grants, fold, base.limits)
         for item in batch.items:
             job = cluster_state.jobs.get(item.job_id)
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -169,7 +169,7 @@
         if self.failed_since_us is None:
             yield from self._next_round(REFRESH_TIMEOUT_US, False)
 
-    def hurry(self) -> None:
+    def start_round_now(self) -> None:
         """Start the next round at once."""
         self._urgent = True
         self.kernel.fire(self._wake_signal)
@@ -178,7 +178,7 @@
         signal = Signal()
         self._waiters.append(signal)
         if not patient:
-            self.hurry()
+            self.start_round_now()
         outcome = yield Wait(signal, timeout_us)
         return bool(outcome == "fresh")
 
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -269,7 +269,7 @@
         self.taken: set[str] = set()
         """Machines whose reports are part of this transaction."""
         self.freed: dict[str, tuple[float, float, float]] = {}
-        """The CPUs, GPUs and GB of memory that light folds free on each machine."""
+        """The CPUs, GPUs and GB of memory that folds of group records alone free on each machine."""
         self.edits: dict[str, GroupEdit] = {}
         self._ops = 0
         self._bytes = 0
@@ -306,7 +306,7 @@
                 self._include(edit, name, record, job_folds, after)
                 break
 
-    def add_light(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
+    def add_group_only(self, group: Group, names: Iterable[str], evidence: dict[str, Evidence]) -> None:
         """Fold the reports that change only the group's record, not that of any job."""
         edit = GroupEdit(group)
         for name, machine, machine_evidence in self._with_reports(group, names, evidence):
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -263,7 +263,7 @@
         if not worker.reconciling and self._needs_orders(worker):
             self.kernel.spawn(self._reconcile_worker(worker))
 
-    def tend_all(self, names: Iterable[str]) -> None:
+    def reconcile_all(self, names: Iterable[str]) -> None:
         """Reconcile the workers of machines whose part of the cluster state has changed."""
         for name in names:
             worker = self.workers.get(name)
@@ -483,7 +483,7 @@
 
     # Folding
 
-    def hurry(self) -> None:
+    def fold_now(self) -> None:
         """Fold all marked machines at once, because a job waits for capacity that their reports have freed."""
         self._urgent.update(self._dirty)
         self.kernel.fire(self._fold_signal)
@@ -527,7 +527,7 @@
         self._last_fold = fold
         return fold.transaction()
 
-    def light(self, groups: Iterable[str] | None = None) -> Fold:
+    def group_only_fold(self, groups: Iterable[str] | None = None) -> Fold:
         """Return the fold of reports that change group records only, for a placement to write with its own changes.
 
         It covers the given groups, by default all that have marked machines.
@@ -536,15 +536,15 @@
         for key in list(self._dirty) if groups is None else groups:
             group = self.base.cluster_state.groups.get(key)
             if group is not None and key in self._dirty:
-                fold.add_light(group, self._dirty[key], self._evidence(group))
+                fold.add_group_only(group, self._dirty[key], self._evidence(group))
         return fold
 
-    def folded(self, names: set[str]) -> None:
+    def mark_folded(self, names: set[str]) -> None:
         """Unmark machines whose reports are in their records now."""
         for key in list(self._dirty):
             self._unmark(key, names)
 
-    def due(self) -> set[str]:
+    def groups_to_fold(self) -> set[str]:
         """Return the groups with marked machines, whose records are to be written anyway."""
         return set(self._dirty)
 
@@ -589,7 +589,7 @@
                 self._last_fold_writes = changes
             for line in last_fold.lines:
                 self.kernel.log("info", line)
-            self.folded(last_fold.taken)
+            self.mark_folded(last_fold.taken)
         elif committed is False:
             self._failed_folds = min(self._failed_folds + 1, 5)
             yield Sleep(int(self.kernel.rng.uniform(0.0, 0.03) * 2**self._failed_folds * SECOND_US))
@@ -604,7 +604,7 @@
         jobs = (cluster_state.jobs[job_id] for job_id in sorted(cluster_state.completed()))
         return [job for job in jobs if ends_later(job, self.base.limits) == deferrable and self.presence.mine(job)]
 
-    def tidy(self) -> Coroutine[None]:
+    def move_completed_jobs(self) -> Coroutine[None]:
         """Move the records of jobs that already count as done, if there is little else to write or they are late."""
         jobs, now = self._completed_jobs(deferrable=True), self.kernel.now_us
         for job in jobs:
@@ -645,7 +645,7 @@
         """Return when each worker that reports here was last heard."""
         return {worker.name: worker.heard_us for worker in self.workers.values() if worker.heard_us}
 
-    def sweep(self) -> Coroutine[None]:
+    def forget_silent_workers(self) -> Coroutine[None]:
         """Forget workers that have neither reported nor been redirected for 120 s."""
         limit = 120 * SECOND_US
         since_us = self.kernel.now_us - limit
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -49,7 +49,7 @@
     "planning": "placer.py:_round",
     "renting": "fleet_manager.py:round",
     "splitting": "splitting.py:run",
-    "tidying": "worker_manager.py:tidy",
+    "tidying": "worker_manager.py:move_completed_jobs",
     "users": "service.py:poll",
     "submissions": "service.py:_submit",
     "look-ups": "service.py:_look_up",
