--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -58,7 +58,7 @@
         self.kernel = Kernel(rng, verbose)
         self.limits = Limits.of(settings.cluster.state)
         self.cluster_state = ClusterState(
-            int(self.limits.least_value_bytes * VALUE_SHARE), most_later(self.limits), lambda: self.kernel.wall_us
+            int(self.limits.final_value_bytes * VALUE_SHARE), most_later(self.limits), lambda: self.kernel.wall_us
         )
         hosts = [peer.host_name for peer in settings.others]
         self.grants = Grants(settings.host_name, hosts, settings.cluster.teams, self.cluster_state)
@@ -140,12 +140,14 @@
 
     def _on_state_changed(self) -> None:
         self.limits.refused = self.store.refused
-        if not self.limits.alike and (self.presence.upgraded() or self.cluster_state.lean or self.store.refused):
+        if not self.limits.all_upgraded and (
+            self.presence.upgraded() or self.cluster_state.compact_seen or self.store.refused
+        ):
             self.kernel.log("info", "all controllers run this version: records are written in lean form from now on")
-            self.limits.alike = True
-        if self.limits.alike and self.limits.fall:
+            self.limits.all_upgraded = True
+        if self.limits.all_upgraded and self.limits.lower_limits_ahead:
             self.kernel.log("info", "the lower limits apply from now on")
-            self.limits.lower()
+            self.limits.apply_lower_limits()
         self.grants.seen(self.follower.revision)
         self.estimate_store.load_changed()
         if self.cluster_state.changes != self._seen_changes:
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -239,7 +239,7 @@
         base, key = self.base, self.key(shard)
         try:
             record = parse_record(base.cluster_state.estimates[key]) if key in base.cluster_state.estimates else None
-            max_bytes = int(base.limits.least_value_bytes * 0.9)
+            max_bytes = int(base.limits.final_value_bytes * 0.9)
             new = folded(record, base.settings.host_name, fold, rows, max_bytes)
         except UnreadableRecord:
             return None
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -79,7 +79,7 @@
                 return None
             groups = {cluster_state.machines[name].group for name, _ in cluster_state.allocations.get(job_id, ())}
             # With more groups than a transaction can guard, no controller counts a job as done by its group records.
-            for key in groups if len(groups) < self.base.limits.least_guards else ():
+            for key in groups if len(groups) < self.base.limits.final_guards else ():
                 txn.guard(key, cluster_state.groups[key].version)
                 if cluster_state.groups[key].size > self.base.limits.value_bytes:
                     # The machines of such a group may move to other groups, and be folded there, without a write to
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -102,7 +102,7 @@
 
     def _check_job(self, spec: JobSpec, value: Any) -> Objection | None:
         """Return the objection to a job that its own description gives rise to."""
-        max_bytes = int(self.base.limits.least_value_bytes * VALUE_SHARE) - SPARE_BYTES - SHORT_RUNS_BYTES
+        max_bytes = int(self.base.limits.final_value_bytes * VALUE_SHARE) - SPARE_BYTES - SHORT_RUNS_BYTES
         size = len(msgspec.json.encode(value))
         if size > max_bytes:
             # The first record could be written, but not the larger ones that follow.
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -60,7 +60,7 @@
         """How often all records were read from scratch."""
         self.upto = ALL_REVISIONS
         """The revision up to which all changes are included; of later ones only this process's own are."""
-        self.lean = False
+        self.compact_seen = False
         """Whether a record in compact form was seen: then no controller of the previous version is running."""
         self.over: dict[str, Any] = {}
         """Final states of jobs that were read or followed lately, by job id; they never change."""
@@ -146,7 +146,7 @@
         self.changes += 1
         if key.startswith(GROUP):
             group = self._groups.put_group(key, value, version)
-            self.lean = self.lean or group.packed is not None
+            self.compact_seen = self.compact_seen or group.packed is not None
         elif key.startswith(LIVE):
             self._put_job(key[len(LIVE) :], value, version)
         elif key.startswith(SPLIT):
--- a/ashtray/placement/group_edit.py
+++ b/ashtray/placement/group_edit.py
@@ -98,6 +98,6 @@
 
     def _packed(self, value: dict[str, Any], limits: Limits) -> dict[str, Any]:
         """Return a record, given in full form, in the form in which it is to be written."""
-        if limits.lean or self.group.packed is not None:
+        if limits.compact or self.group.packed is not None:
             return compact_record.pack(value, self.group.packed, self._changed)
         return value
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -133,7 +133,7 @@
         self.rng = rng
         self.capacities: list[MachineCapacity] = []
         kinds = cluster_state.types
-        self.lean = limits.lean
+        self.compact = limits.compact
         self._bytes_left = {
             key: -1.0 if group.moving else FULL_SHARE * limits.value_bytes - group.size
             for key, group in cluster_state.groups.items()
@@ -229,7 +229,7 @@
         return left
 
     def _base_bytes(self, job: Job) -> int:
-        return COMPACT_ALLOCATION_BYTES if self.lean else ALLOCATION_BYTES + len(job.id) + len(job.spec.team)
+        return COMPACT_ALLOCATION_BYTES if self.compact else ALLOCATION_BYTES + len(job.id) + len(job.spec.team)
 
     def request_for(self, job: Job) -> PlacementRequest:
         """Return the request for a job's tasks that the rules evaluate."""
--- a/ashtray/store/client.py
+++ b/ashtray/store/client.py
@@ -357,12 +357,12 @@
     ops: int
     txn_bytes: int
     value_bytes: int
-    least_ops: int = 0
-    least_value_bytes: int = 0
+    final_ops: int = 0
+    final_value_bytes: int = 0
     """The lower limits that will hold in the end, or the present ones if none are to come."""
-    low: bool = False
+    lowered: bool = False
     """The lower limits are obeyed."""
-    alike: bool = False
+    all_upgraded: bool = False
     """All controllers are of this version."""
     refused: bool = False
     """A transaction was refused as too large: the lower limits are in force."""
@@ -379,20 +379,20 @@
         return cls(limits.txn_ops, txn_bytes, int(limits.value_kb * 1024), ops, int(value_kb * 1024))
 
     @property
-    def lean(self) -> bool:
-        """Whether group records are written in the lean form: every controller that runs can read it."""
-        return self.low or self.alike
+    def compact(self) -> bool:
+        """Whether group records are written in the compact form: every controller that runs can read it."""
+        return self.lowered or self.all_upgraded
 
     @property
-    def fall(self) -> bool:
+    def lower_limits_ahead(self) -> bool:
         """Whether lower limits are to come and are not obeyed yet."""
-        return not self.low and (self.least_ops < self.ops or self.least_value_bytes < self.value_bytes)
+        return not self.lowered and (self.final_ops < self.ops or self.final_value_bytes < self.value_bytes)
 
-    def lower(self) -> None:
+    def apply_lower_limits(self) -> None:
         """Obey the lower limits from now on."""
-        self.low = True
+        self.lowered = True
         self.initial_value_bytes = self.value_bytes
-        self.ops, self.value_bytes = self.least_ops, self.least_value_bytes
+        self.ops, self.value_bytes = self.final_ops, self.final_value_bytes
 
     def takes(self, size: int, alone: bool = False) -> bool:
         """Whether a record of `size` bytes may be written.
@@ -410,9 +410,9 @@
         return 4 * self.ops
 
     @property
-    def least_guards(self) -> int:
+    def final_guards(self) -> int:
         """`guards` under the lower limits, for rules that all controllers must agree on at any time."""
-        return 4 * (self.least_ops or self.ops)
+        return 4 * (self.final_ops or self.ops)
 
 
 class Txn:
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -252,7 +252,7 @@
 
 def most_later(limits: Limits) -> int:
     """Return how many tasks a job may have at most if its record is moved later."""
-    return min(MOST_LATER, limits.least_guards - 2)
+    return min(MOST_LATER, limits.final_guards - 2)
 
 
 class Fold:
@@ -454,7 +454,7 @@
         max(machine_type.gpus / 2, machine_type.cpus / CPUS_PER_ALLOCATION, 1.0) if machine_type is not None else 1.0
     )
     machine_bytes, allocation_bytes = FULL_FORM_BYTES
-    if limits.lean:
+    if limits.compact:
         # A group that fills up is split, so it need not be small from the start.
         machine_bytes, allocation_bytes, allocations = *COMPACT_FORM_BYTES, max(allocations / 2, 1.0)
     fits = int(limits.value_bytes * GROUP_SHARE / (machine_bytes + allocations * allocation_bytes))
@@ -463,7 +463,7 @@
 
 def most_group_size(limits: Limits) -> int:
     """Return how many machines a record can have at most under the lowest value size limit to come."""
-    return int(limits.least_value_bytes * FULL_SHARE / NEW_MACHINE_BYTES) + 1
+    return int(limits.final_value_bytes * FULL_SHARE / NEW_MACHINE_BYTES) + 1
 
 
 def adoption(
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -137,7 +137,7 @@
     def run(self) -> Coroutine[None]:
         """Split all groups that need it once, then wait for `CHECK_INTERVAL_US`."""
         base = self.base
-        if not base.limits.lean or not base.follower.loaded or not self.presence.incarnation:
+        if not base.limits.compact or not base.follower.loaded or not self.presence.incarnation:
             yield Sleep(CHECK_INTERVAL_US)
             return
         for group in self.due():
@@ -191,7 +191,7 @@
         """
         cluster_state, limits = self.base.cluster_state, self.base.limits
         group = cluster_state.groups.get(key)
-        if group is None or not limits.lean:
+        if group is None or not limits.compact:
             return None
         txn = Txn().guard(key, group.version)
         moved = self._change_old_record(txn, group, parts_of_group(cluster_state, group, limits))
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -381,7 +381,7 @@
         cluster_state = self.base.cluster_state
         needs_all_reports = not (
             job.id in cluster_state.dependencies.dependents
-            or (self.base.limits.low and self.job_timing.has_time_objective(job))
+            or (self.base.limits.lowered and self.job_timing.has_time_objective(job))
         )
         max_tasks = MAX_TASKS_TO_CHECK if needs_all_reports else MAX_TIMED_TASKS_TO_CHECK
         if job.id in cluster_state.waiting() or len(cluster_state.placed(job.id)) > max_tasks:
@@ -562,7 +562,9 @@
         a fold, and placements write the freed capacity of the groups that they change.
         """
         changes = self.base.store.changes
-        scarce = (10, LOW_SCARCE_MAX_FOLD_INTERVAL_US) if self.base.limits.low else (4, SCARCE_MAX_FOLD_INTERVAL_US)
+        scarce = (
+            (10, LOW_SCARCE_MAX_FOLD_INTERVAL_US) if self.base.limits.lowered else (4, SCARCE_MAX_FOLD_INTERVAL_US)
+        )
         divisor, max_us = scarce if changes.scarce() else (2, MAX_FOLD_INTERVAL_US)
         return min(int(divisor * self._last_fold_writes / max(changes.bucket.rate, 0.1) * SECOND_US), max_us)
 
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -312,7 +312,7 @@
     ),
     "lean-form-too-early": (
         "ashtray/controller.py",
-        "self.presence.upgraded() or self.cluster_state.lean or self.store.refused",
+        "self.presence.upgraded() or self.cluster_state.compact_seen or self.store.refused",
         "True",
     ),
     "older-one-not-asked": (
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -165,9 +165,9 @@
     assert settings.cluster.workers.lease_s == 18.0
     limits = Limits.of(settings.cluster.state)
     # The next limits apply only once no controller of the previous version is running.
-    assert (limits.ops, limits.value_bytes, limits.fall) == (16, 32 * 1024, True)
-    limits.lower()
-    assert (limits.ops, limits.value_bytes, limits.guards, limits.fall) == (5, 2048, 20, False)
+    assert (limits.ops, limits.value_bytes, limits.lower_limits_ahead) == (16, 32 * 1024, True)
+    limits.apply_lower_limits()
+    assert (limits.ops, limits.value_bytes, limits.guards, limits.lower_limits_ahead) == (5, 2048, 20, False)
 
 
 @pytest.mark.parametrize(
@@ -242,7 +242,7 @@
 
 @given(STEPS)
 def test_a_compact_record_that_is_written_and_read_incrementally_keeps_all_values(steps) -> None:
-    cluster_state, limits = ClusterState(), Limits(16, 60_000, 32_768, alike=True)
+    cluster_state, limits = ClusterState(), Limits(16, 60_000, 32_768, all_upgraded=True)
     key = GROUP + "g"
     first = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1")})
     cluster_state.put(key, compact_record.pack(msgspec.to_builtins(first)), 1)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -70,11 +70,11 @@
 
 
 @pytest.mark.parametrize("alike", [False, True])
-def test_groups_grow_with_the_machines_and_their_records_do_not(alike: bool) -> None:
-    limits = Limits(16, 55_000, 32_768, alike=alike)
+def test_groups_grow_with_the_machines_and_their_records_do_not(all_upgraded: bool) -> None:
+    limits = Limits(16, 55_000, 32_768, all_upgraded=all_upgraded)
     groups = [math.ceil(number / group_size(KIND, limits)) for number in SIZES]
     assert_proportional([float(number) for number in groups])
-    assert groups[1] <= (32 if alike else 50)
+    assert groups[1] <= (32 if all_upgraded else 50)
     # A full group: each machine has one allocation for each GPU, and all jobs and images differ.
     machines = {
         name: MachineRecord(
@@ -93,13 +93,13 @@
         for n, name in enumerate(machine_names(group_size(KIND, limits)))
     }
     value = msgspec.to_builtins(GroupRecord("big", "a", machines))
-    assert compact_record.size_of(compact_record.pack(value) if alike else value) <= limits.value_bytes
+    assert compact_record.size_of(compact_record.pack(value) if all_upgraded else value) <= limits.value_bytes
 
 
 def test_a_start_reads_live_keys_only_and_adopts_machines_group_by_group() -> None:
     pages, changes = [], []
     for number in SIZES[:2]:
-        cluster_state, limits = ClusterState(), Limits(16, 55_000, 32_768, alike=True)
+        cluster_state, limits = ClusterState(), Limits(16, 55_000, 32_768, all_upgraded=True)
         cluster_state._types["t"] = {"big": KIND}
         cluster_state._types_changed()
         left = {
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -147,7 +147,7 @@
 
 def test_folds_never_grow_a_record_over_its_limit():
     # The tasks of many arrays end in random order: runs of task numbers get long, in allocations and in `done`.
-    limits = Limits(5, 50_000, 2048, low=True)
+    limits = Limits(5, 50_000, 2048, lowered=True)
     cluster_state = ClusterState(1900)
     holds = []
     for n in range(14):
@@ -193,7 +193,7 @@
 
 
 def test_a_machine_gets_no_more_small_tasks_of_many_jobs_than_fit_into_its_record():
-    limits = Limits(5, 50_000, 2048, low=True)
+    limits = Limits(5, 50_000, 2048, lowered=True)
     cluster_state = ClusterState(1900)
     cluster_state._types["t"] = {"big": MachineType("big", 96.0, 0.0, 384.0, 60.0, 1.0, 1.0, 0.3, 1, ("a",))}
     cluster_state._types_changed()
--- a/tests/test_record_tables.py
+++ b/tests/test_record_tables.py
@@ -22,7 +22,7 @@
 
 
 def test_the_tables_stay_bounded_while_each_change_adds_entries() -> None:
-    cluster_state, limits, key = ClusterState(), Limits(16, 60_000, 32_768, alike=True), GROUP + "g"
+    cluster_state, limits, key = ClusterState(), Limits(16, 60_000, 32_768, all_upgraded=True), GROUP + "g"
     record = GroupRecord("big", "a", {"vm-0": MachineRecord("10.0.0.9:1")})
     cluster_state.put(key, compact_record.pack(msgspec.to_builtins(record)), 1)
     longest = 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -114,10 +114,10 @@
     strike(model, [(at_s, fault) for at_s, fault in faults if fault[0] not in ("halt",) or at_s < 15])
     pipeline(model, stages, 20, over_s + 12, 0.5)
     if following is not None:
-        # Without lower limits to come, the lean form is still used once all controllers are upgraded.
+        # Without lower limits to come, the compact form is still used once all controllers are upgraded.
         model.at(int((over_s + fall_s) * SECOND), model.limits_fall)
     model.run(over_s + 60)
     assert all(not host.old for host in model.hosts)
-    assert following is not None or any(host.core and host.core.limits.lean for host in model.hosts)
+    assert following is not None or any(host.core and host.core.limits.compact for host in model.hosts)
     assert not model.refusals
     finish(model, 160)
