--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -200,7 +200,7 @@
         """Start all coroutines; must be called once, before any other input."""
         kernel = self.kernel
         kernel.advance(now_us, wall_us)
-        for bucket in (self.store.requests.bucket, self.store.changes.bucket, self.fleet_manager.cloud.bucket):
+        for bucket in (self.store.requests.bucket, self.store.writes.bucket, self.fleet_manager.cloud.bucket):
             bucket.at_us = kernel.now_us
         kernel.spawn_repeating(self.follower.run, 0)
         kernel.spawn_repeating(self.presence.run, 0)
--- a/ashtray/estimates/estimate_store.py
+++ b/ashtray/estimates/estimate_store.py
@@ -186,7 +186,7 @@
         live = max(len(self.presence.live()), 1) if base.follower.loaded else 1
         rate = WRITE_SHARE * base.settings.cluster.state.write_rps
         pause_us = max(MIN_FOLD_INTERVAL_US, int(live / rate * SECOND_US))
-        if not base.follower.loaded or not self.presence.incarnation or base.store.changes.scarce():
+        if not base.follower.loaded or not self.presence.incarnation or base.store.writes.scarce():
             return
         if base.kernel.now_us - self._folded_us < pause_us:
             return
@@ -225,7 +225,7 @@
         elif repeated is not None:
             # An earlier transaction of this fold may still be applied.
             return
-        elif txn is not None and txn.doubt:
+        elif txn is not None and txn.outcome_unknown:
             self._unanswered[shard] = UnansweredFold(fold, dict(taken), txn.guards[self.key(shard)])
             if base.cluster_state.version(self.key(shard)) > self._unanswered[shard].version:
                 # A later version of the record was read before the wait for the answer timed out.
--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -170,8 +170,8 @@
             yield from self._drain_unmarked(remaining)
             build = partial(self._removal_transaction, remaining, removed)
             groups = {machines[name].group for name in remaining if name in machines}
-            changes = min(len(groups) + 1, MAX_EXPECTED_WRITES)
-            committed = yield from self.base.follower.commit(build, changes, Urgency.FREE, "remove")
+            expected_writes = min(len(groups) + 1, MAX_EXPECTED_WRITES)
+            committed = yield from self.base.follower.commit(build, expected_writes, Urgency.FREE, "remove")
             if committed:
                 self._note_removed(removed)
             elif committed is None or not (yield from self.base.follower.barrier()):
--- a/ashtray/fleet/group_edits.py
+++ b/ashtray/fleet/group_edits.py
@@ -41,4 +41,4 @@
         for key, edit in self._edits.items():
             if not edit.write(txn, self.base.limits, self.cluster_state.is_live):
                 names[:] = [name for name in names if name not in self.cluster_state.groups[key].machines]
-        return txn if txn.changes() else None
+        return txn if txn.write_count() else None
--- a/ashtray/fleet/type_catalogue.py
+++ b/ashtray/fleet/type_catalogue.py
@@ -88,9 +88,9 @@
         remaining: list[RecordWrite] = [*puts.items(), *((key, None) for key in removes)]
         while remaining:
             txn = self._transaction(remaining)
-            remaining = remaining[txn.changes() :]
+            remaining = remaining[txn.write_count() :]
             build = partial(lambda txn: txn, txn)
-            if not (yield from self.base.follower.commit(build, txn.changes(), Urgency.BOOKKEEPING, "fleet")):
+            if not (yield from self.base.follower.commit(build, txn.write_count(), Urgency.BOOKKEEPING, "fleet")):
                 return False
         return True
 
@@ -100,7 +100,7 @@
         for key, record in changes[: self.base.limits.ops]:
             value = None if record is None else msgspec.to_builtins(record)
             free_bytes -= 0 if value is None else compact_record.size_of(value)
-            if free_bytes < 0 and txn.changes():
+            if free_bytes < 0 and txn.write_count():
                 break
             txn.guard(key, self.base.cluster_state.version(key))
             if value is None:
--- a/ashtray/jobs/accepting.py
+++ b/ashtray/jobs/accepting.py
@@ -88,7 +88,7 @@
             txn = Txn()
             free_bytes = self._limits.txn_bytes - sum(job.size for job in batch)
             # Jobs submitted since the write budget was requested join the batch as far as spare budget covers them.
-            max_jobs = min(requested + self._store.changes.spare(Urgency.ACCEPT), self._limits.ops)
+            max_jobs = min(requested + self._store.writes.spare(Urgency.ACCEPT), self._limits.ops)
             while self._pending and len(batch) < max_jobs:
                 job = next(iter(self._pending.values()))
                 if self._is_accepted(job.job_id):
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -103,7 +103,7 @@
             messages.clear()
             txn = Txn()
             for job in self._cancelled_dependents():
-                if txn.changes() + 2 <= base.limits.ops and self.presence.mine(job):
+                if txn.write_count() + 2 <= base.limits.ops and self.presence.mine(job):
                     end_job(txn, job, "cancelled", 0, self.kernel.wall_us)
                     messages.append(f"{job.id} cancelled with {base.cluster_state.dependencies.cancelled_by[job.id]}")
             return txn if messages else None
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -406,9 +406,9 @@
         base.follower.controllers = len(self.presence.live()) if base.follower.loaded else base.settings.cluster.nodes
         used, self._last_used = base.store.used - self._last_used, base.store.used
         # A controller that had to wait could have written more: its estimated demand doubles every second.
-        demand = used + sum(amount for _, _, amount, _ in base.store.changes.waiting)
-        if base.store.changes.throttled:
-            base.store.changes.throttled = False
+        demand = used + sum(amount for _, _, amount, _ in base.store.writes.waiting)
+        if base.store.writes.throttled:
+            base.store.writes.throttled = False
             demand += used
         self._write_demand = 0.5 * self._write_demand + 0.5 * demand
         if not base.follower.loaded:
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -165,7 +165,7 @@
         plan = self.planner.plan()
         plan.add_freed(self.worker_manager.group_only_fold().freed)
         plan.due_groups = self.worker_manager.groups_to_fold()
-        plan.writes_scarce = base.store.changes.scarce()
+        plan.writes_scarce = base.store.writes.scarce()
         jobs, guaranteed = self.planner.queue()
         self._queue = list(jobs)
         while jobs and not self.presence.mine(jobs[-1]):
@@ -276,7 +276,7 @@
                 # There is capacity for only a few of many tasks.  Such placements are combined into fewer commits,
                 # for each costs writes.  While writes are scarce, the first job would otherwise use them all on
                 # capacity as it is freed, and jobs behind it that could go elsewhere would never get their turn.
-                scarce = plan.writes_scarce or base.store.changes.scarce()
+                scarce = plan.writes_scarce or base.store.writes.scarce()
                 pause_us = SCARCE_PARTIAL_PAUSE_US if scarce else PARTIAL_PAUSE_US
                 if base.kernel.now_us - self._partial_us.get(job.id, 0) < pause_us:
                     continue
@@ -485,7 +485,7 @@
             if committed is None:
                 return False
             txn, teams = self._last_commit
-            if txn.doubt:
+            if txn.outcome_unknown:
                 self.grants.doubt(teams)
             self._recent_failures.append(not committed)
             self._commits += 1
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -284,4 +284,4 @@
     for edit in edits.values():
         if not edit.write(txn, limits, cluster_state.is_live) and whole:
             return None
-    return txn if txn.changes() else None
+    return txn if txn.write_count() else None
--- a/ashtray/store/client.py
+++ b/ashtray/store/client.py
@@ -178,7 +178,7 @@
         self.limits = limits
         self.headroom = headroom
         self.requests = RateLimiter(kernel, Bucket(limits.rps, 1.0, kernel.now_us), limits.rps * REQUEST_OVERDRAFT)
-        self.changes = RateLimiter(
+        self.writes = RateLimiter(
             kernel, Bucket(limits.write_rps, 1.0, kernel.now_us), limits.write_rps * WRITE_OVERDRAFT
         )
         self.refused = False
@@ -210,21 +210,21 @@
             self._throttled_us = []
             low_s = self._low_rate_us // SECOND_US
             self.kernel.log("info", f"the state service throttles writes: writing at the lower rate for {low_s} s")
-            self.changes.bucket.rate = min(
-                self.changes.bucket.rate,
-                self.changes.bucket.rate * self.limits.next.write_rps / self.limits.write_rps,
+            self.writes.bucket.rate = min(
+                self.writes.bucket.rate,
+                self.writes.bucket.rate * self.limits.next.write_rps / self.limits.write_rps,
             )
 
     def backlog(self) -> int:
         """Return how many requests and transactions wait for their budgets."""
-        return len(self.requests.waiting) + len(self.changes.waiting)
+        return len(self.requests.waiting) + len(self.writes.waiting)
 
-    def share(self, requests: float, changes: float) -> None:
+    def share(self, requests: float, writes: float) -> None:
         """Set this controller's shares, from 0 to 1, of the request and write budgets of all controllers."""
         write_rps = self.limits.write_rps
         if self.limits.next is not None and self.kernel.now_us < self._low_rate_until_us:
             write_rps = min(write_rps, self.limits.next.write_rps)
-        for limiter, rate in ((self.requests, self.limits.rps * requests), (self.changes, write_rps * changes)):
+        for limiter, rate in ((self.requests, self.limits.rps * requests), (self.writes, write_rps * writes)):
             limiter.bucket.refill(self.kernel.now_us)
             limiter.bucket.rate = rate * self.headroom
 
@@ -269,14 +269,14 @@
     def commit(
         self,
         build: Callable[[], Txn | None],
-        changes: int,
+        writes: int,
         urgency: Urgency,
         purpose: str,
         refresh: Callable[[], Coroutine[None]] | None = None,
     ) -> Coroutine[tuple[Txn | None, Reply]]:
         """Commit the transaction that `build` returns; return the transaction and its reply.
 
-        `build` is called only when the budget for about `changes` writes is there, and after `refresh` has read the
+        `build` is called only when the budget for about that many `writes` is there, and after `refresh` has read the
         latest changes, so that a transaction does not become outdated while it waits for the budget.  If `build`
         returns None, nothing is sent, and the result is None with a reply of status 0.  A 429 is retried.
         """
@@ -284,21 +284,21 @@
         txn: Txn | None = None
         reply = Reply(0)
         for n in range(3):
-            yield from self.changes.admit(urgency, changes)
+            yield from self.writes.admit(urgency, writes)
             if refresh is not None:
                 yield from refresh()
             txn = build()
             if txn is None:
-                self.changes.bucket.level += changes
+                self.writes.bucket.level += writes
                 return None, Reply(0)
-            self.changes.bucket.level -= txn.changes() - changes
+            self.writes.bucket.level -= txn.write_count() - writes
             self.requests.bucket.level -= 1
-            self.used += txn.changes()
+            self.used += txn.write_count()
             reply = yield Call(self.address, "POST", "/txn", txn.body(), CALL_TIMEOUT_US)
             outcome = OUTCOME_NAMES.get(reply.status, "refused")
             self.counts[f"{purpose} {outcome}"] += 1
-            self.counts[f"{purpose} {outcome} changes"] += txn.changes()
-            txn.doubt = reply.status not in KNOWN_OUTCOMES
+            self.counts[f"{purpose} {outcome} changes"] += txn.write_count()
+            txn.outcome_unknown = reply.status not in KNOWN_OUTCOMES
             if reply.status == 400 and (reply.body or {}).get("error") != "no such lease":
                 # The same transaction must not be sent again.  If it exceeds the lower limits, they are in force now;
                 # any other refusal says nothing about the limits or about peers of the previous version.
@@ -307,8 +307,8 @@
             if reply.status != 429:
                 break
             self.note_write_throttled()
-            self.changes.note_throttled(n)
-        self._log_slow_or_failed("POST", f"/txn of {txn.changes() if txn else 0}", reply, asked_us)
+            self.writes.note_throttled(n)
+        self._log_slow_or_failed("POST", f"/txn of {txn.write_count() if txn else 0}", reply, asked_us)
         return txn, reply
 
     def _exceeds_next_limits(self, txn: Txn) -> bool:
@@ -317,7 +317,7 @@
             return False
         sizes = [len(msgspec.json.encode(value)) for value in txn.puts.values()]
         return (
-            txn.changes() > next_limits.txn_ops
+            txn.write_count() > next_limits.txn_ops
             or len(txn.guards) > 4 * next_limits.txn_ops
             or max(sizes, default=0) > next_limits.value_kb * 1024
         )
@@ -423,7 +423,7 @@
         self.puts: dict[str, Any] = {}
         self.leases: dict[str, int] = {}
         self.removes: list[str] = []
-        self.doubt = False
+        self.outcome_unknown = False
         """The outcome is unknown: the transaction may have been applied, or may still be."""
 
     def guard(self, key: str, version: int) -> Txn:
@@ -443,7 +443,7 @@
         self.removes.append(key)
         return self
 
-    def changes(self) -> int:
+    def write_count(self) -> int:
         """Return the number of writes: puts and removals."""
         return len(self.puts) + len(self.removes)
 
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -183,7 +183,7 @@
         return bool(outcome == "fresh")
 
     def commit(
-        self, build: Callable[[], Txn | None], changes: int, urgency: Urgency, purpose: str
+        self, build: Callable[[], Txn | None], writes: int, urgency: Urgency, purpose: str
     ) -> Coroutine[bool | None]:
         """Commit the transaction that `build` makes from the latest cluster state.
 
@@ -191,7 +191,7 @@
         refusal or an unknown outcome, and None if `build` found nothing to commit.
         """
         refresh = self.refresh if urgency in SHARED_URGENCIES else None
-        txn, reply = yield from self.store.commit(build, changes, urgency, purpose, refresh)
+        txn, reply = yield from self.store.commit(build, writes, urgency, purpose, refresh)
         if txn is None:
             return None
         if reply.status != 200:
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -561,12 +561,12 @@
         a fold covers few groups and a job needs more writes, so the part is a tenth.  Jobs that need capacity ask for
         a fold, and placements write the freed capacity of the groups that they change.
         """
-        changes = self.base.store.changes
+        writes = self.base.store.writes
         scarce = (
             (10, LOW_SCARCE_MAX_FOLD_INTERVAL_US) if self.base.limits.lowered else (4, SCARCE_MAX_FOLD_INTERVAL_US)
         )
-        divisor, max_us = scarce if changes.scarce() else (2, MAX_FOLD_INTERVAL_US)
-        return min(int(divisor * self._last_fold_writes / max(changes.bucket.rate, 0.1) * SECOND_US), max_us)
+        divisor, max_us = scarce if writes.scarce() else (2, MAX_FOLD_INTERVAL_US)
+        return min(int(divisor * self._last_fold_writes / max(writes.bucket.rate, 0.1) * SECOND_US), max_us)
 
     def fold(self) -> Coroutine[None]:
         """Wait until there is something to fold, and fold it."""
@@ -575,20 +575,20 @@
             yield Wait(self._fold_signal, SECOND_US // 4)
             return
         # The end of a job may wait for others while writes are scarce, but has to be visible within 3 s.
-        yield Sleep(SCARCE_FOLD_DELAY_US if self.base.store.changes.scarce() else FOLD_DELAY_US)
+        yield Sleep(SCARCE_FOLD_DELAY_US if self.base.store.writes.scarce() else FOLD_DELAY_US)
         while (
             not self._urgent and not completed and self.kernel.now_us < self._last_fold_us + self._fold_interval_us()
         ):
             yield Wait(self._fold_signal, self._last_fold_us + self._fold_interval_us() - self.kernel.now_us)
         self._fold_all = self.kernel.now_us >= self._last_fold_us + self._fold_interval_us()
-        changes = min(len(self._dirty if self._fold_all else self._urgent) + 1, self.base.limits.ops)
-        committed = yield from self.base.follower.commit(self._fold, changes, Urgency.FREE, "fold")
+        expected_writes = min(len(self._dirty if self._fold_all else self._urgent) + 1, self.base.limits.ops)
+        committed = yield from self.base.follower.commit(self._fold, expected_writes, Urgency.FREE, "fold")
         last_fold = self._last_fold
         if committed and last_fold is not None:
             self._failed_folds = 0
             if self._fold_all:
                 self._last_fold_us = self.kernel.now_us
-                self._last_fold_writes = changes
+                self._last_fold_writes = expected_writes
             for line in last_fold.lines:
                 self.kernel.log("info", line)
             self.mark_folded(last_fold.taken)
@@ -616,8 +616,8 @@
         if not jobs:
             return
         jobs.sort(key=lambda job: self._completed_us[job.id])
-        changes = self.base.store.changes
-        scarce = changes.scarce()
+        writes = self.base.store.writes
+        scarce = writes.scarce()
         # Completed tasks that group records keep take space there, but moving a job's record costs two writes.
         late = now - self._completed_us[jobs[0].id] > (SCARCE_TIDY_DELAY_US if scarce else TIDY_DELAY_US)
         if scarce and not late and len(jobs) < MAX_UNMOVED_JOBS:
@@ -627,7 +627,7 @@
         jobs = jobs[: self.base.limits.ops // 2]
         # At most a full token bucket of writes at once.  Otherwise ends of jobs, which have to be visible within 3 s,
         # would wait until the bucket is out of debt.
-        batch_size = max(int(changes.bucket.rate * changes.bucket.burst_s) // 2, 1)
+        batch_size = max(int(writes.bucket.rate * writes.bucket.burst_s) // 2, 1)
         for first in range(0, len(jobs), batch_size):
             yield from self._move(jobs[first : first + batch_size], urgency)
 
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -122,7 +122,7 @@
         # No rule depends on announcements of cancellations to peers, and they would make the search larger.
         core.peers.announcer.announce = no_announcement
         core.kernel.advance(self.now_us, self.now_us)
-        for limiter in (core.store.requests, core.store.changes):
+        for limiter in (core.store.requests, core.store.writes):
             # Request and write budgets must not delay a message here.
             limiter.bucket.rate = limiter.bucket.level = 1e9
             limiter.bucket.at_us = self.now_us
--- a/tests/mutants/waiting.py
+++ b/tests/mutants/waiting.py
@@ -18,7 +18,7 @@
     ),
     "moving-what-is-over-leaves-a-debt": (
         "ashtray/workers/worker_manager.py",
-        "batch_size = max(int(changes.bucket.rate * changes.bucket.burst_s) // 2, 1)",
+        "batch_size = max(int(writes.bucket.rate * writes.bucket.burst_s) // 2, 1)",
         "batch_size = self.base.limits.ops // 2",
     ),
     "prospects-of-a-spread-job-in-one-zone": (PROSPECTS, "if spec.spread:", "if False:"),
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -92,7 +92,7 @@
         peer.need = 100.0
     core.peers._write_demand = 1e-9
     assert next(core.peers.budget(), None) is None
-    assert core.store.changes.bucket.rate > 1.0
+    assert core.store.writes.bucket.rate > 1.0
 
 
 def test_a_request_does_not_wait_out_a_rate_that_was_too_low_for_a_moment() -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -111,7 +111,7 @@
             txn, taken = adoption(cluster_state, left, OperatorSettings().group_size, limits)
             assert taken
             version += 1
-            spent += txn.changes()
+            spent += txn.write_count()
             for key, value in txn.puts.items():
                 cluster_state.put(key, value, version)
             for name in taken:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -182,7 +182,7 @@
             if txn is None:
                 break
             version += 1
-            assert txn.changes() <= 5
+            assert txn.write_count() <= 5
             for key, value in txn.puts.items():
                 assert compact_record.size_of(value) <= 2048
                 cluster_state.put(key, value, version)
@@ -224,15 +224,15 @@
     model = Model(3, following=(2.0, 5))
     model.run(4)
     store = model.hosts[0].core.store
-    rate = store.changes.bucket.rate
+    rate = store.writes.bucket.rate
     store.note_write_throttled()
-    assert store.changes.bucket.rate == rate
+    assert store.writes.bucket.rate == rate
     store.note_write_throttled()
-    assert store.changes.bucket.rate < 0.8 * rate
+    assert store.writes.bucket.rate < 0.8 * rate
     model.run(5)
-    assert store.changes.bucket.rate < 0.8 * rate
+    assert store.writes.bucket.rate < 0.8 * rate
     model.run(40)
-    assert store.changes.bucket.rate == pytest.approx(rate, rel=0.1)
+    assert store.writes.bucket.rate == pytest.approx(rate, rel=0.1)
 
 
 @pytest.mark.parametrize(("changes", "size", "shows"), [(2, 10, False), (6, 10, True), (1, 4000, True)])
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -589,7 +589,7 @@
         core.presence.incarnation = 1
         controller = SearchedController(core)
         core.kernel.advance(SECOND, SECOND)
-        for bucket in (core.store.requests.bucket, core.store.changes.bucket):
+        for bucket in (core.store.requests.bucket, core.store.writes.bucket):
             bucket.at_us = SECOND
         core.kernel.spawn_repeating(core.follower.run, 0)
         self._collect(controller, core.kernel.run())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -178,7 +178,7 @@
     model = Model(7, operator_settings=OperatorSettings(group_size=1), following=(2.0, 5))
     model.run(3)
     for host in model.hosts:
-        host.core.store.changes.scarce = lambda: True
+        host.core.store.writes.scarce = lambda: True
         host.core.worker_manager._fold_interval_us = lambda: 60 * SECOND
         host.core.worker_manager._last_fold_us = model.now + SECOND
     model.submit(submission("job-0", pieces=18, cpus=4.0, crew="free", urgency="urgent", hulls=["small"]))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -120,7 +120,7 @@
 
 def test_a_machine_on_which_more_jobs_end_than_a_transaction_takes_is_folded_in_parts():
     txn = fold_of_thirty_jobs(17, "1-16")
-    assert 1 < txn.changes() <= 16
+    assert 1 < txn.write_count() <= 16
 
 
 def test_small_jobs_count_as_done_with_one_write_of_their_group():
