--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -148,7 +148,7 @@
         if self.limits.all_upgraded and self.limits.lower_limits_ahead:
             self.kernel.log("info", "the lower limits apply from now on")
             self.limits.apply_lower_limits()
-        self.grants.seen(self.follower.revision)
+        self.grants.note_read(self.follower.revision)
         self.estimate_store.load_changed()
         if self.cluster_state.changes != self._seen_changes:
             self._seen_changes = self.cluster_state.changes
@@ -175,7 +175,7 @@
         for job_id, tasks in cluster_state.waiting().items():
             by_class[cluster_state.jobs[job_id].spec.job_class] += len(tasks)
         self.kernel.log("debug", f"waiting: {', '.join(f'{name} {n}' for name, n in by_class.most_common())}")
-        for line in self.grants.lines(cluster_state.waiting()):
+        for line in self.grants.status_lines(cluster_state.waiting()):
             self.kernel.log("debug", line)
         totals: dict[str, list[float]] = {}
         for machine in cluster_state.machines.values():
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -93,7 +93,7 @@
                         self._signed_in_revision = reply.body["ledger"]
                         if not self.incarnation:
                             self.incarnation = reply.body["ledger"]
-                            self.grants.begin(self.incarnation)
+                            self.grants.note_sign_in(self.incarnation)
                             base.kernel.log("info", f"signed in as {base.settings.host_name}")
                 if self.lease is None:
                     yield Sleep(SECOND_US // 2)
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -24,7 +24,7 @@
 from ashtray.placement.state_keys import TEAM
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
-from ashtray.teams.grants import URGENT, Grants, Share
+from ashtray.teams.grants import URGENT_PRIORITY, Grants, Share
 from ashtray.workers.folding import Fold
 from ashtray.workers.worker_manager import WorkerManager
 
@@ -189,7 +189,9 @@
         waiting_teams = {
             jobs[job_id].spec.team for job_id in base.cluster_state.waiting() if self.presence.mine(jobs[job_id])
         }
-        teams = sorted(team for team in waiting_teams if self.grants.limited(team) and not self.grants.ready(team))
+        teams = sorted(
+            team for team in waiting_teams if self.grants.has_limit(team) and not self.grants.is_fenced(team)
+        )
         if teams:
             yield Sleep(int(base.kernel.rng.random() * FENCE_DELAY_US * len(self.presence.live())))
             build = partial(self.grants.fence, teams)
@@ -212,9 +214,9 @@
             # This controller may use up its share whatever comes first in the queue of another one.  If the share
             # were counted against the plan's limit, it would stay unused until it had been moved to the other
             # controllers.
-            shared = mine and self.grants.limited(job.spec.team)
+            shared = mine and self.grants.has_limit(job.spec.team)
             tasks = plan.wanted(job, base.kernel.wall_us, shared)
-            urgent = job.priority <= URGENT and not job.suspect
+            urgent = job.priority <= URGENT_PRIORITY and not job.suspect
             if not mine and not urgent:
                 tasks = self._within_owner_share(job, tasks, peer_usage)
             if not tasks:
@@ -285,7 +287,7 @@
                     if not choices:
                         continue
                 self._partial_us[job.id] = base.kernel.now_us
-            if self.grants.limited(job.spec.team):
+            if self.grants.has_limit(job.spec.team):
                 choices = self._cut_to_share(plan, job, choices, batch, turn)
                 if not choices:
                     continue
@@ -310,7 +312,7 @@
         so it is not cut.  `peer_usage` sums up what was allowed so far, by team and owner.
         """
         team, spec = job.spec.team, job.spec
-        if not self.grants.limited(team) or spec.kind == "gang":
+        if not self.grants.has_limit(team) or spec.kind == "gang":
             return tasks
         owner = self._owner(job)
         cpus, gpus = peer_usage.get((team, owner), (0.0, 0.0))
@@ -371,7 +373,7 @@
         base = self.base
         short, self._short_jobs = self._short_jobs, {}
         for team, jobs in short.items():
-            if not self.grants.ready(team):
+            if not self.grants.is_fenced(team):
                 # A commit had an unknown outcome: the next round begins with a fence.
                 self._request_round()
                 continue
@@ -398,7 +400,9 @@
         own, before = self.grants.own_share(team), self._own_shares.get(team, (0.0, 0.0))
         lowered = any(own[n] < before[n] - AMOUNT_TOLERANCE for n in (0, 1))
         self._own_shares[team] = own
-        if not lowered or any(short.job.priority <= URGENT or short.job.spec.kind == "gang" for short in jobs):
+        if not lowered or any(
+            short.job.priority <= URGENT_PRIORITY or short.job.spec.kind == "gang" for short in jobs
+        ):
             return False
         self._reshared[team] = (self.base.kernel.now_us, SHARE_YIELD_US)
         return True
@@ -417,10 +421,14 @@
     def _shares_for(self, team: str, jobs: list[ShortJob]) -> Txn | None:
         """Return the transaction that raises this controller's share for the first job that can get more, or None."""
         prospects = Prospects(self.base.cluster_state, self.base.teams)
-        wants = self.grants.wants(team, self._queue, self._owner, self.presence.available(), prospects.can_be_placed)
+        demands = self.grants.demands(
+            team, self._queue, self._owner, self.presence.available(), prospects.can_be_placed
+        )
         for short in jobs:
             job = short.job
-            txn = self.grants.reshare(team, job.spec, short.count, wants, short.turn, job.priority <= URGENT)
+            txn = self.grants.reshare(
+                team, job.spec, short.count, demands, short.turn, job.priority <= URGENT_PRIORITY
+            )
             if txn is not None:
                 return txn
         return None
@@ -486,7 +494,7 @@
                 return False
             txn, teams = self._last_commit
             if txn.outcome_unknown:
-                self.grants.doubt(teams)
+                self.grants.note_unanswered(teams)
             self._recent_failures.append(not committed)
             self._commits += 1
             if committed:
@@ -637,7 +645,7 @@
         self._bytes += self._size(item)
         self.items.append(item)
         self._jobs.add(item.job_id)
-        self.urgent = self.urgent or (job.priority <= URGENT and not job.suspect)
+        self.urgent = self.urgent or (job.priority <= URGENT_PRIORITY and not job.suspect)
         self.groups |= item.groups()
         cpus, gpus = self.used.get(job.spec.team, (0.0, 0.0))
         self.used[job.spec.team] = (cpus + item.count * job.spec.cpus, gpus + item.count * job.spec.gpus)
@@ -669,7 +677,7 @@
         ):
             return False
         more = self.usage.get(spec.team, (0.0, 0.0))
-        if self.grants.limited(spec.team) and self.grants.allowed(spec.team, spec, *more) < item.count:
+        if self.grants.has_limit(spec.team) and self.grants.allowed(spec.team, spec, *more) < item.count:
             return False
         zones: dict[str, int] = {}
         for (name, _), allocation in cluster_state.allocations.get(job.id, {}).items():
@@ -724,7 +732,7 @@
             record.images = cached(record.images, spec.image, spec.image_gb, capacity.type.cache_gb, self.image_bytes)
             cpus, gpus, memory = self._added.get(machine.name, (0.0, 0.0, 0.0))
             self._added[machine.name] = (cpus + n * spec.cpus, gpus + n * spec.gpus, memory + n * spec.memory_gb)
-        if self.grants.limited(spec.team):
+        if self.grants.has_limit(spec.team):
             cpus, gpus = self.usage.get(spec.team, (0.0, 0.0))
             self.usage[spec.team] = (cpus + item.count * spec.cpus, gpus + item.count * spec.gpus)
 
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -29,7 +29,7 @@
 """The turn of a job that is not in the queue; a turn is a position in the queue, 0 is its head."""
 BINDING_FRACTION = 0.9
 """The used fraction from which on a limit counts as used up: the rest is free only between two tasks."""
-URGENT = 1
+URGENT_PRIORITY = 1
 """Jobs with this priority number or a lower one are urgent."""
 FAIR_FRACTION = 0.5
 """A controller with less than this fraction of its fair share may ask peers for what they have use for themselves."""
@@ -72,16 +72,16 @@
         This controller's own commits show in it at once; what peers committed before them may still be missing.
         """
 
-    def limited(self, name: str) -> bool:
+    def has_limit(self, name: str) -> bool:
         """Return whether a team has a limit."""
         return name in self.teams
 
-    def begin(self, revision: int) -> None:
+    def note_sign_in(self, revision: int) -> None:
         """Note the revision at which this process signed in; its predecessor can have guarded no later version."""
         self._newest_guarded = dict.fromkeys(self.teams, revision)
         self._fenced.clear()
 
-    def doubt(self, names: Iterable[str]) -> None:
+    def note_unanswered(self, names: Iterable[str]) -> None:
         """Note that a placement of these teams got no answer: it may be applied until the teams' records change."""
         for name in names:
             self._fenced.discard(name)
@@ -95,11 +95,11 @@
         txn = Txn()
         for name in names:
             key = TEAM + name
-            if not self.ready(name):
+            if not self.is_fenced(name):
                 txn.guard(key, self.cluster_state.version(key)).put(key, self._shares(name))
         return txn if txn.puts else None
 
-    def seen(self, revision: int) -> None:
+    def note_read(self, revision: int) -> None:
         """Note that the cluster state shows all changes up to a revision.
 
         If a team's record was raised since its placements became uncertain, by this controller or a peer, each of
@@ -111,7 +111,7 @@
                 del self._newest_guarded[name]
                 self._fenced.add(name)
 
-    def ready(self, name: str) -> bool:
+    def is_fenced(self, name: str) -> bool:
         """Return whether all placements of this controller for a team are known, so that it may place more."""
         return name in self._fenced
 
@@ -129,7 +129,7 @@
     def _share_of(self, host: str, name: str) -> Share:
         return self._shares(name).get(host, (0.0, 0.0))
 
-    def lines(self, waiting: Mapping[str, Sized]) -> list[str]:
+    def status_lines(self, waiting: Mapping[str, Sized]) -> list[str]:
         """Return a line for the log for each limit: how much of it is used, and by each controller of its share.
 
         `waiting` has the waiting tasks of each job, by job id.
@@ -173,7 +173,7 @@
         within = _limited_to_share(self.teams[name], share)
         return tasks_within(within, used[0] + cpus, used[1] + gpus, spec)
 
-    def wants(
+    def demands(
         self,
         name: str,
         queue: Iterable[Job],
@@ -200,7 +200,7 @@
                 cpus, gpus = demand.cpus + number * job.spec.cpus, demand.gpus + number * job.spec.gpus
                 first_urgent = (
                     min(demand.first_urgent, turn)
-                    if job.priority <= URGENT and not job.suspect
+                    if job.priority <= URGENT_PRIORITY and not job.suspect
                     else demand.first_urgent
                 )
                 found[host] = Demand(cpus, gpus, first_gang, smallest_task, first_urgent)
@@ -218,7 +218,7 @@
         """Return a transaction that gets this controller a share for `count` more tasks, or None if it cannot help.
 
         It adds what is in no share to this controller's share, and lowers peers' shares by what they cannot use.
-        `demands` is what `wants` returned, `turn` the job's turn.
+        `demands` is what the method of that name returned, `turn` the job's turn.
 
         A peer may still use what its lowered share no longer includes, until it reads the change.  So this controller
         takes that only by a later change, made on a cluster state in which the lowered share already binds.  That is
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -30,7 +30,7 @@
         self.revision = 0
         self.cluster_state = ClusterState()
         self.grants = Grants(name, HOSTS, [Team("crew", cpus_max=LIMIT)], self.cluster_state)
-        self.grants.begin(state.revision)
+        self.grants.note_sign_in(state.revision)
 
     def sync(self) -> None:
         status, body = self.state.handle(0, "GET", f"/follow?under=ashtray/now/&after={self.revision}", None)
@@ -41,7 +41,7 @@
             else:
                 self.cluster_state.remove(change["remove"], change["stamp"])
         self.revision = body["ledger"]
-        self.grants.seen(self.revision)
+        self.grants.note_read(self.revision)
 
     def send(self, txn: Txn | None) -> bool:
         if txn is None:
@@ -111,7 +111,7 @@
             txn = host.placement(slot, count)
             if txn is not None:
                 unanswered.append(decoded(txn))
-                host.grants.doubt(["crew"])
+                host.grants.note_unanswered(["crew"])
         elif op == "arrive" and unanswered:
             # A transaction that got no answer is applied after all, after any delay.
             state.handle(0, "POST", "/txn", unanswered.pop(count % len(unanswered)))
@@ -242,7 +242,7 @@
     assert host.grants.allowed("crew", SPEC) == 0
     host.fence()
     assert host.grants.allowed("crew", SPEC) == 4
-    host.grants.doubt(["crew"])
+    host.grants.note_unanswered(["crew"])
     assert host.grants.allowed("crew", SPEC) == 0
 
 
@@ -250,7 +250,7 @@
     state = State()
     hosts = [Controller(name, state) for name in HOSTS]
     hosts[0].fence()
-    assert not hosts[1].grants.ready("crew")
+    assert not hosts[1].grants.is_fenced("crew")
     hosts[1].sync()
     assert hosts[1].grants.fence(["crew"]) is None
     assert hosts[1].grants.allowed("crew", SPEC) == 4
@@ -267,10 +267,10 @@
     host = Controller("h0", state)
     host.sync()
     host.send(host.grants.fence(["crew"]))
-    host.grants.seen(host.revision)
-    assert not host.grants.ready("crew")
+    host.grants.note_read(host.revision)
+    assert not host.grants.is_fenced("crew")
     host.sync()
-    assert host.grants.ready("crew")
+    assert host.grants.is_fenced("crew")
 
 
 def test_a_rest_too_small_for_any_task_of_its_controller_is_taken_if_another_task_then_fits() -> None:
@@ -301,5 +301,5 @@
     for n, (spec, owner) in enumerate([(SPEC, "h0"), (small, "h0"), (small, "h1"), (GANG, "h1"), (SPEC, "h1")]):
         host.cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, owner, n)), n + 1)
     queue = [host.cluster_state.jobs[f"job-{n}"] for n in range(5)]
-    wants = host.grants.wants("crew", queue, lambda job: job.record.owner, HOSTS)
+    wants = host.grants.demands("crew", queue, lambda job: job.record.owner, HOSTS)
     assert [wants[name].smallest_task for name in HOSTS] == [(1.5, 0.0), (0.0, 0.0), (0.0, 0.0)]
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -37,7 +37,7 @@
         cluster_state.put(GROUP + where, msgspec.to_builtins(record), 4)
     machine_type = SimpleNamespace(cpus=4.0, gpus=0.0, memory_gb=16.0)
     candidate: Any = SimpleNamespace(machine=cluster_state.machines[f"vm-{zone}"], type=machine_type)
-    grants: Any = SimpleNamespace(limited=lambda team: False)
+    grants: Any = SimpleNamespace(has_limit=lambda team: False)
     draft = Draft(cluster_state, grants, SimpleNamespace(freed={}), Limits(16, 60_000, 32_768))  # type: ignore[arg-type]
     assert draft.allows(cluster_state.jobs["job-1"], BatchItem("job-1", [1], [(candidate, 1)], 0)) == allowed
 
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -156,7 +156,7 @@
     while not model.hosts[0].core or not model.hosts[0].core.presence.incarnation:
         model.run(0.01)
     core = model.hosts[0].core
-    assert not core.grants.ready("crew")
+    assert not core.grants.is_fenced("crew")
     assert core.grants.allowed("crew", next(iter(core.cluster_state.jobs.values())).spec) == 0
 
 
