--- a/ashtray/placement/explain.py
+++ b/ashtray/placement/explain.py
@@ -13,7 +13,7 @@
 from ashtray.placement.queue_order import Standing
 from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.rules import PREFERENCES, VALIDATORS, MachineCapacity
-from ashtray.teams.guarantees import leaving
+from ashtray.teams.guarantees import ending_usage
 from ashtray.teams.limits import tasks_within
 
 
@@ -136,7 +136,7 @@
     claims_by_team = plan.cluster_state.claims
     leaving_amounts = {
         name: amounts
-        for name, amounts in leaving(plan.cluster_state).items()
+        for name, amounts in ending_usage(plan.cluster_state).items()
         if name != team.name and name in claims_by_team
     }
     used = plan.cluster_state.team_usage(team.name)
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -17,7 +17,7 @@
 from ashtray.placement.rules import VALIDATORS, MachineCapacity, PlacementRequest
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn
-from ashtray.teams.guarantees import Amounts, Excess, amounts, claim, plus
+from ashtray.teams.guarantees import Amounts, Excess, add_amounts, amounts_of, claim
 
 Victims = dict[str, dict[tuple[str, int], set[int]]]
 """The tasks to stop: by machine, then by job and attempt."""
@@ -93,7 +93,9 @@
         for allocation, number in tasks:
             victim = self._cluster_state.jobs.get(allocation.job)
             if victim is not None and victim.priority <= self._job.priority:
-                taken[victim.spec.team] = plus(taken.get(victim.spec.team, (0.0, 0.0)), amounts(allocation, number))
+                taken[victim.spec.team] = add_amounts(
+                    taken.get(victim.spec.team, (0.0, 0.0)), amounts_of(allocation, number)
+                )
         return taken
 
     def covers(self, tasks: Iterable[tuple[Allocation, int]]) -> bool:
--- a/ashtray/teams/guarantees.py
+++ b/ashtray/teams/guarantees.py
@@ -28,7 +28,7 @@
 """CPUs and GPUs."""
 
 
-def leaving(cluster_state: ClusterState) -> dict[str, Amounts]:
+def ending_usage(cluster_state: ClusterState) -> dict[str, Amounts]:
     """Return, by team, what the tasks use that were told to stop.
 
     The team's usage in the cluster state includes it until these tasks are gone.
@@ -38,16 +38,16 @@
         for allocation in by_key.values():
             if allocation.record.stop_us >= 0:
                 team = allocation.record.team
-                found[team] = plus(found.get(team, (0.0, 0.0)), amounts(allocation, len(allocation.tasks)))
+                found[team] = add_amounts(found.get(team, (0.0, 0.0)), amounts_of(allocation, len(allocation.tasks)))
     return found
 
 
-def amounts(allocation: Allocation, tasks: int) -> Amounts:
+def amounts_of(allocation: Allocation, tasks: int) -> Amounts:
     """Return what so many tasks of an allocation use."""
     return tasks * allocation.record.cpus, tasks * allocation.record.gpus
 
 
-def plus(a: Amounts, b: Amounts) -> Amounts:
+def add_amounts(a: Amounts, b: Amounts) -> Amounts:
     """Return the sum of two amounts."""
     return a[0] + b[0], a[1] + b[1]
 
@@ -56,7 +56,7 @@
     """What each team runs beyond its guarantee, as a cluster state shows it."""
 
     def __init__(self, cluster_state: ClusterState, teams: dict[str, Team]) -> None:
-        ending_by_team = leaving(cluster_state)
+        ending_by_team = ending_usage(cluster_state)
         self._left: dict[str, Amounts] = {}
         for team in teams.values():
             used, ending = cluster_state.team_usage(team.name), ending_by_team.get(team.name, (0.0, 0.0))
