--- a/tests/mutants/waiting.py
+++ b/tests/mutants/waiting.py
@@ -6,8 +6,8 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "what-nothing-can-hold-keeps-its-share": (
         PLACER,
-        "self._owner, self.presence.available(), prospects.can_be_placed)",
-        "self._owner, self.presence.available())",
+        "self._owner, self.presence.available(), prospects.can_be_placed",
+        "self._owner, self.presence.available()",
     ),
     "what-nothing-can-hold-asks-for-a-share": (PLACER, "if plan.prospects.can_be_placed(job):", "if True:"),
     "services-are-taken-to-end": (PROSPECTS, 'if job is None or job.spec.kind != "service":', "if True:"),
