--- a/ashtray/jobs/dependencies.py
+++ b/ashtray/jobs/dependencies.py
@@ -66,7 +66,7 @@
                 self._done_us.pop(dependency, None)
         self._propagate_urgency(job.spec.needs)
 
-    def over(self, job_id: str, state: Any) -> set[str]:
+    def note_final_state(self, job_id: str, state: Any) -> set[str]:
         """Record a job's final state; returns the ids of jobs whose readiness may have changed."""
         if job_id not in self.dependents or job_id in self._done_us:
             return set()
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -44,9 +44,9 @@
         A final state never changes, so no read is needed.
         """
         cluster_state = self.base.cluster_state
-        over = cluster_state.over.get(job_id)
-        if over is not None:
-            return JobState(job_id, over["status"], over["done"])
+        final_state = cluster_state.final_states.get(job_id)
+        if final_state is not None:
+            return JobState(job_id, final_state["status"], final_state["done"])
         if job_id in cluster_state.dependencies.cancelled_by:
             return JobState(job_id, "cancelled")
         return None
@@ -54,7 +54,7 @@
     def look_up(self, job_id: str, urgency: Urgency = Urgency.ACCEPT) -> Coroutine[LookUpResult]:
         """Return a job's state as of a moment after this call, or `RetryLater` if it cannot be read."""
         cluster_state = self.base.cluster_state
-        while job_id not in cluster_state.over:
+        while job_id not in cluster_state.final_states:
             # Safety point 6: a state that is not final is told only after a read that began after the request came.
             if not (yield from self.base.follower.barrier(patient=True)):
                 return STATE_UNREADABLE
@@ -68,16 +68,16 @@
                     # Reading the dependencies took a while, or the cluster state shows a later write: read again.
                     continue
                 return state
-            if job_id in cluster_state.over:
+            if job_id in cluster_state.final_states:
                 break
-            if job_id in cluster_state.absent:
+            if job_id in cluster_state.known_absent:
                 return NeverAccepted()
             # The job ended before the cluster state was first read, or it does not exist.  One read settles which.
             failed = yield from self._fetch_final(job_id, urgency)
             if failed is not None:
                 return failed
-        over = cluster_state.over[job_id]
-        return JobState(job_id, over["status"], over["done"])
+        final_state = cluster_state.final_states[job_id]
+        return JobState(job_id, final_state["status"], final_state["done"])
 
     def _live_state(self, job: Job) -> JobState | None:
         """Return the state of a job that is live in the cluster state; None if that takes another barrier."""
@@ -116,7 +116,7 @@
         while unknown := [
             dependency
             for dependency in cluster_state.dependencies.unknown([job.id])
-            if dependency not in cluster_state.absent
+            if dependency not in cluster_state.known_absent
         ]:
             known = None
             ongoing = self._reads.get(unknown[0])
@@ -141,7 +141,7 @@
                 if len(self._reads) >= MAX_DEPENDENCY_READS:
                     self._resolved_changes = -1
                     break
-                if dependency not in self._reads and dependency not in cluster_state.absent:
+                if dependency not in self._reads and dependency not in cluster_state.known_absent:
                     self.kernel.spawn(self._resolve(dependency))
         yield Sleep(RESOLVE_INTERVAL_US)
 
@@ -155,14 +155,14 @@
         """Read a job's final state, or its absence, into the cluster state; returns the state service's status."""
         cluster_state = self.base.cluster_state
         signal = self._reads[job_id] = Signal()
-        loads, followed = cluster_state.loads, self.base.follower.loaded
+        load_count, followed = cluster_state.load_count, self.base.follower.loaded
         try:
             reply = yield from self.base.store.read(OVER + job_id, urgency)
         finally:
             del self._reads[job_id]
         if reply.status == 200:
             cluster_state.note_final_state(job_id, reply.body["value"], reply.body["stamp"])
-        elif reply.status == 404 and followed and cluster_state.loads == loads:
+        elif reply.status == 404 and followed and cluster_state.load_count == load_count:
             # The absence counts only if this controller follows all writes since this read began.  After a reload, a
             # final state written before its first page was read is in no page and in none of the writes followed
             # after it (point 14).
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -123,7 +123,7 @@
             # A peer of an older version drops fields that it does not know when it rewrites the job's record.
             return RetryLater(f"not all controllers support jobs with dependencies yet: {', '.join(old_peers)}")
         for dependency in spec.needs:
-            if dependency in cluster_state.jobs or dependency in cluster_state.over:
+            if dependency in cluster_state.jobs or dependency in cluster_state.final_states:
                 continue
             state = yield from self.states.look_up(dependency)
             if isinstance(state, NeverAccepted):
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -33,7 +33,7 @@
 
 ALL_REVISIONS = 1 << 62
 """Later than any revision: a cluster state that no follower updates counts as read completely."""
-MAX_OVER = 20_000
+MAX_FINAL_STATES = 20_000
 """How many final states of jobs are kept; the oldest entry is dropped first."""
 MAX_ABSENT = 20_000
 """How many ids of jobs without a final state are kept; the oldest entry is dropped first."""
@@ -56,13 +56,13 @@
         """
         self._most_later = most_later
         self._clock = clock
-        self.loads = 0
+        self.load_count = 0
         """How often all records were read from scratch."""
-        self.upto = ALL_REVISIONS
+        self.read_revision = ALL_REVISIONS
         """The revision up to which all changes are included; of later ones only this process's own are."""
         self.compact_seen = False
         """Whether a record in compact form was seen: then no controller of the previous version is running."""
-        self.over: dict[str, Any] = {}
+        self.final_states: dict[str, Any] = {}
         """Final states of jobs that were read or followed lately, by job id; they never change."""
         self.cancellations = CancellationLog()
         """Recent cancellations, for peers that cannot read the state service."""
@@ -71,12 +71,12 @@
 
     def clear(self) -> None:
         """Drop all records except the final states of jobs, before they are read from scratch."""
-        self.loads += 1
+        self.load_count += 1
         self.changes = 0
         """A counter that grows with each change; callers compare it to see whether anything changed."""
         self.jobs: dict[str, Job] = {}
         """The live jobs, by id."""
-        self.absent: dict[str, None] = {}
+        self.known_absent: dict[str, None] = {}
         """Ids of jobs whose final state was looked up and not found; the follower sees one that is written later."""
         self.cancelled_elsewhere: set[str] = set()
         """Jobs that a peer reports as cancelled, while this controller has not read their final state itself.
@@ -122,14 +122,14 @@
         """Machines by name; the most recently changed one is the last."""
         self.allocations = self._groups.allocations
         """By job id, its allocations."""
-        self.moved = self._groups.moved
+        self.split_progress = self._groups.split_progress
         """For each group that is being split, the last machine and the last job's completed tasks that have moved."""
 
     # Changes
 
     def read(self, revision: int) -> None:
         """Note that all changes up to a revision have been applied."""
-        self.upto = revision
+        self.read_revision = revision
         if self._removed_at:
             self._removed_at = {key: version for key, version in self._removed_at.items() if version > revision}
         if self._tasks.confirm():
@@ -157,7 +157,7 @@
     def _put_job(self, job_id: str, value: Any, version: int) -> None:
         job = Job(job_id, value, version, self.job_bytes)
         self.jobs[job_id] = job
-        self._tasks.readiness_changed(self.dependencies.put(job, self.over))
+        self._tasks.readiness_changed(self.dependencies.put(job, self.final_states))
         self._job_changed(job_id)
 
     def _put_in_table(self, key: str, value: Any, version: int) -> None:
@@ -183,7 +183,7 @@
         if self._versions.get(key, 0) >= version:
             return
         self._versions.pop(key, None)
-        if version > self.upto:
+        if version > self.read_revision:
             self._removed_at[key] = version
         self.changes += 1
         if key.startswith(GROUP):
@@ -237,32 +237,32 @@
 
     def note_final_state(self, job_id: str, state: Any, version: int) -> None:
         """Apply a job's final state, written at revision `version`."""
-        if job_id not in self.over and state["status"] == "cancelled":
+        if job_id not in self.final_states and state["status"] == "cancelled":
             self.cancellations.note(version, job_id)
-        self.over[job_id] = state
+        self.final_states[job_id] = state
         self.cancelled_elsewhere.discard(job_id)
-        self.absent.pop(job_id, None)
-        dependents = self.dependencies.over(job_id, state)
+        self.known_absent.pop(job_id, None)
+        dependents = self.dependencies.note_final_state(job_id, state)
         if dependents:
             self._tasks.readiness_changed(dependents)
             self.changes += 1
-        if len(self.over) > MAX_OVER:
-            del self.over[next(iter(self.over))]
+        if len(self.final_states) > MAX_FINAL_STATES:
+            del self.final_states[next(iter(self.final_states))]
 
     def note_absent(self, job_id: str) -> None:
         """Note that a job's final state was looked up and does not exist; the follower sees it once it is written."""
-        if job_id in self.over:
+        if job_id in self.final_states:
             return
-        self.absent[job_id] = None
-        if len(self.absent) > MAX_ABSENT:
-            del self.absent[next(iter(self.absent))]
+        self.known_absent[job_id] = None
+        if len(self.known_absent) > MAX_ABSENT:
+            del self.known_absent[next(iter(self.known_absent))]
 
     def note_cancelled_elsewhere(self, job_ids: Iterable[str]) -> bool:
         """Note that a peer reports these jobs as cancelled; return whether any of that is new.
 
         None of their tasks may run any more.  Their final states are read once the state service can be reached.
         """
-        news = {job_id for job_id in job_ids if job_id not in self.over} - self.cancelled_elsewhere
+        news = {job_id for job_id in job_ids if job_id not in self.final_states} - self.cancelled_elsewhere
         self.cancelled_elsewhere |= news
         for job_id in sorted(news):
             self._groups.touch_machines_of(job_id)
@@ -270,7 +270,7 @@
 
     def knows(self, job_id: str) -> bool:
         """Return whether a job is known to be accepted: its record or its final state was seen."""
-        return job_id in self.jobs or job_id in self.over
+        return job_id in self.jobs or job_id in self.final_states
 
     def is_live(self, job_id: str) -> bool:
         """Return whether a job's record is known, so the job was not over when the record was read."""
@@ -280,7 +280,7 @@
         """Return whether a job is known to be over; False for a job that this controller does not know yet."""
         if job_id in self.cancelled_elsewhere:
             return True
-        return job_id not in self.jobs and (job_id in self.over or job_id in self.allocations)
+        return job_id not in self.jobs and (job_id in self.final_states or job_id in self.allocations)
 
     def _is_confirmed(self, job: Job) -> bool:
         """Return whether all records of a job's tasks are from revisions that were read completely (point 13).
@@ -292,7 +292,9 @@
         """
         groups = self.groups
         group_keys = self._groups.done.get(job.id, ())
-        return job.version <= self.upto and all(groups[key].version <= self.upto for key in group_keys)
+        return job.version <= self.read_revision and all(
+            groups[key].version <= self.read_revision for key in group_keys
+        )
 
     # Queries
 
@@ -316,9 +318,9 @@
         """Return whether all tasks of a job are done, whether that is confirmed or not."""
         return self._tasks.all_done(job)
 
-    def leaving(self) -> dict[str, list[tuple[str, Allocation]]]:
+    def ending_allocations(self) -> dict[str, list[tuple[str, Allocation]]]:
         """Return, by job, the allocations whose tasks are about to end, each with its machine's name."""
-        return self._tasks.leaving()
+        return self._tasks.ending_allocations()
 
     def placed(self, job_id: str) -> set[int]:
         """Return the placed tasks of a job; the caller must not change the set."""
@@ -333,7 +335,7 @@
 
         From `machine_health.SICK_BLAME` on the machine is returned to the cloud.
         """
-        return machine_blame(machine, self.jobs, self.over, self._tasks.finished)
+        return machine_blame(machine, self.jobs, self.final_states, self._tasks.finished)
 
     def take_touched(self) -> list[str]:
         """Return the names of the machines whose record, or whose jobs, changed since the last call."""
--- a/ashtray/placement/group_index.py
+++ b/ashtray/placement/group_index.py
@@ -25,7 +25,7 @@
         """By job id, its allocations."""
         self.done: dict[str, dict[str, set[int]]] = {}
         """By job id and group key, the completed tasks that the group's record keeps for the job."""
-        self.moved: dict[str, tuple[str, str]] = {}
+        self.split_progress: dict[str, tuple[str, str]] = {}
         """For each group that is being split, the last machine and the last job's completed tasks that have moved."""
         self.usage = TeamUsage()
         self._touched: set[str] = set()
@@ -36,7 +36,7 @@
         """Apply a group record, in full or in compact form, and return the group."""
         before = self.groups.get(key)
         group = Group(key, value, version, before)
-        group.moving = key in self.moved
+        group.moving = key in self.split_progress
         self._put_machines(group, before.machines if before is not None else {})
         group.done = before.done if before is not None else {}
         known_runs = before.value.get("done", {}) if before is not None else {}
@@ -53,15 +53,15 @@
             self._drop_machine(machine)
         self._put_done(group, {}, {})
 
-    def put_split(self, key: str, upto: tuple[str, str] | None) -> None:
+    def put_split(self, key: str, last_moved: tuple[str, str] | None) -> None:
         """Apply how far the group with this key has been split, or None if it is not being split.
 
         What its record says about machines that have moved to other groups no longer counts.
         """
-        if upto is None:
-            self.moved.pop(key, None)
+        if last_moved is None:
+            self.split_progress.pop(key, None)
         else:
-            self.moved[key] = upto
+            self.split_progress[key] = last_moved
         group = self.groups.get(key)
         if group is not None:
             # This drops the size of the compact form.  It is not needed: the record is not written again.
@@ -82,9 +82,9 @@
 
     def _put_machines(self, group: Group, known: dict[str, Machine]) -> None:
         """Fill in a group's machines; those whose part of the record is unchanged are reused from `known`."""
-        moved_upto = self.moved[group.key][0] if group.moving else ""
+        moved_up_to = self.split_progress[group.key][0] if group.moving else ""
         for name, raw in group.value["machines"].items():
-            if name <= moved_upto:
+            if name <= moved_up_to:
                 continue
             machine = known.get(name)
             if machine is None or (machine.raw is not raw and machine.raw != raw):
--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -46,7 +46,7 @@
     def __init__(self, cluster_state: ClusterState, job_timing: JobTiming) -> None:
         self._cluster_state = cluster_state
         self._job_timing = job_timing
-        self._loads = -1
+        self._load_count = -1
         self._since_us = 0
         self._counted_us = -COUNT_PAUSE_US
         self._live: dict[str, Class] = {}
@@ -62,9 +62,9 @@
     def due(self, wall_us: int) -> dict[Class, int]:
         """Return how many jobs would restore the minimum share of each class below it, the least served class
         first."""
-        if self._loads != self._cluster_state.loads:
+        if self._load_count != self._cluster_state.load_count:
             # The cluster state was read again from scratch: the jobs that ended meanwhile are unknown.
-            self._loads, self._since_us = self._cluster_state.loads, wall_us
+            self._load_count, self._since_us = self._cluster_state.load_count, wall_us
             self._live.clear()
             self._served.clear()
             self._counted_us = wall_us - COUNT_PAUSE_US
@@ -79,7 +79,7 @@
         for job_id, name in list(self._live.items()):
             if job_id not in cluster_state.jobs:
                 del self._live[job_id]
-                if cluster_state.over.get(job_id, {}).get("status") == "done":
+                if cluster_state.final_states.get(job_id, {}).get("status") == "done":
                     self._served[job_id] = name
                 else:
                     self._served.pop(job_id, None)
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -365,7 +365,7 @@
     def _capacity_of_stopping(self) -> dict[str, tuple[float, float, float]]:
         """Return the CPUs, GPUs and GB, by machine, that tasks about to end will free."""
         found: dict[str, tuple[float, float, float]] = {}
-        for job_allocations in self.cluster_state.leaving().values():
+        for job_allocations in self.cluster_state.ending_allocations().values():
             for name, allocation in job_allocations:
                 n = len(allocation.tasks)
                 c, g, m = found.get(name, (0.0, 0.0, 0.0))
--- a/ashtray/placement/task_index.py
+++ b/ashtray/placement/task_index.py
@@ -70,9 +70,9 @@
         """Jobs whose entries in the four tables above must be recomputed."""
         self._unconfirmed: set[str] = set()
         """Small jobs whose tasks are all done, by changes from revisions that were not read completely yet."""
-        self._leaving: dict[str, list[tuple[str, Allocation]]] = {}
-        """By job, its ending allocations; outdated for the jobs in `_leaving_stale`."""
-        self._leaving_stale: set[str] = set()
+        self._ending_allocations: dict[str, list[tuple[str, Allocation]]] = {}
+        """By job, its ending allocations; outdated for the jobs in `_stale_ending`."""
+        self._stale_ending: set[str] = set()
 
     def follow(
         self, allocations: Mapping[str, dict[AllocationKey, Allocation]], done: Mapping[str, dict[str, set[int]]]
@@ -86,7 +86,7 @@
         self._placed.pop(job_id, None)
         self._finished.pop(job_id, None)
         self._stale.add(job_id)
-        self._leaving_stale.add(job_id)
+        self._stale_ending.add(job_id)
 
     def readiness_changed(self, job_ids: Iterable[str]) -> None:
         """Note that these jobs may have become ready or have ceased to be."""
@@ -144,20 +144,20 @@
             self._update_stale()
         return bool(self._unconfirmed)
 
-    def leaving(self) -> dict[str, list[tuple[str, Allocation]]]:
+    def ending_allocations(self) -> dict[str, list[tuple[str, Allocation]]]:
         """Return, by job, the allocations whose tasks are about to end, each with its machine's name.
 
         Their tasks were told to stop, belong to a failed attempt, or their job is over.
         """
-        if self._leaving_stale:
-            stale, self._leaving_stale = self._leaving_stale, set()
+        if self._stale_ending:
+            stale, self._stale_ending = self._stale_ending, set()
             for job_id in sorted(stale):
                 found = self._leaving_of(job_id)
                 if found:
-                    self._leaving[job_id] = found
+                    self._ending_allocations[job_id] = found
                 else:
-                    self._leaving.pop(job_id, None)
-        return self._leaving
+                    self._ending_allocations.pop(job_id, None)
+        return self._ending_allocations
 
     def _leaving_of(self, job_id: str) -> list[tuple[str, Allocation]]:
         job = self._jobs.get(job_id)
@@ -174,9 +174,9 @@
             stale, self._stale = self._stale, set()
             for job_id in sorted(stale):
                 self._update_job(job_id)
-        if len(self._leaving_stale) > MAX_LEAVING_STALE:
-            # Bounds the set: `leaving` may never be called by others.
-            self.leaving()
+        if len(self._stale_ending) > MAX_LEAVING_STALE:
+            # Bounds the set: `ending_allocations` may never be called by others.
+            self.ending_allocations()
 
     def _update_job(self, job_id: str) -> None:
         self._complete.discard(job_id)
--- a/tests/mutants/cached.py
+++ b/tests/mutants/cached.py
@@ -5,7 +5,7 @@
 TASK_INDEX, RULES = "ashtray/placement/task_index.py", "ashtray/placement/rules.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
-    "leaving-tasks-kept-for-ever": (TASK_INDEX, "        self._leaving_stale.add(job_id)\n", ""),
+    "leaving-tasks-kept-for-ever": (TASK_INDEX, "        self._stale_ending.add(job_id)\n", ""),
     "equal-holds-counted-once": (MACHINE_GROUPS, "                remaining.remove(allocation)\n", ""),
     "new-holds-not-counted": (
         GROUP_INDEX,
--- a/tests/mutants/gap.py
+++ b/tests/mutants/gap.py
@@ -33,7 +33,7 @@
     "stated-cancellations-are-ignored": (CLUSTER_STATE, "self.cancelled_elsewhere |= news", "pass"),
     "stated-cancellations-of-unknown-jobs-are-ignored": (
         CLUSTER_STATE,
-        "news = {job_id for job_id in job_ids if job_id not in self.over}",
+        "news = {job_id for job_id in job_ids if job_id not in self.final_states}",
         "news = {job_id for job_id in job_ids if job_id in self.jobs}",
     ),
     "own-cancellations-are-not-stated": (
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -197,7 +197,7 @@
     ),
     "known-jobs-are-written-again": (
         CLUSTER_STATE,
-        "return job_id in self.jobs or job_id in self.over",
+        "return job_id in self.jobs or job_id in self.final_states",
         "return False",
     ),
     "a-lease-for-each-try": (
@@ -291,7 +291,7 @@
         "                txn.guard(key, cluster_state.groups[key].version)",
         "                pass",
     ),
-    "every-question-reads": (CLUSTER_STATE, "        self.absent[job_id] = None\n", "        pass\n"),
+    "every-question-reads": (CLUSTER_STATE, "        self.known_absent[job_id] = None\n", "        pass\n"),
     "started-before-ready": (DEPENDENCIES, "return not self.open(job)", "return True"),
     "unknown-counts-as-done": (
         DEPENDENCIES,
@@ -321,7 +321,7 @@
         "min(DEPENDENCIES_VERSION if host in seen else 0 for host in hosts)",
     ),
     "size-not-checked": ("ashtray/store/client.py", "return size <= self.value_bytes * VALUE_SHARE", "return True"),
-    "moved-machines-count": (GROUP_INDEX, "            if name <= moved_upto:\n", "            if False:\n"),
+    "moved-machines-count": (GROUP_INDEX, "            if name <= moved_up_to:\n", "            if False:\n"),
     "split-not-marked": (
         "ashtray/workers/splitting.py",
         "txn.guard(lock, cluster_state.version(lock)).put(lock, progress)",
@@ -332,11 +332,15 @@
         "            if len(runs) > max_bytes:\n",
         "            if False:\n",
     ),
-    "own-change-counts-as-read": (CLUSTER_STATE, "return job.version <= self.upto and all(", "return True or all("),
+    "own-change-counts-as-read": (
+        CLUSTER_STATE,
+        "return job.version <= self.read_revision and all(",
+        "return True or all(",
+    ),
     "late-change-comes-back": (FOLLOWER, "        if version <= self.revision:\n            return\n", ""),
     "removed-comes-back": (
         CLUSTER_STATE,
-        "        if version > self.upto:\n            self._removed_at[key] = version\n",
+        "        if version > self.read_revision:\n            self._removed_at[key] = version\n",
         "",
     ),
     "split-not-guarded-by-cancellation": (CANCELLING, "txn.guard(lock, cluster_state.version(lock))", "pass"),
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -297,7 +297,7 @@
         for job, held in cluster_state.allocations.items()
     }
     teams = ["crew", "free"]
-    leaving = {}
+    ending = {}
     for job, held in cluster_state.allocations.items():
         live = cluster_state.jobs.get(job)
         ends = [
@@ -306,10 +306,10 @@
             if live is None or hold.record.stop_us >= 0 or hold.attempt <= live.record.broken
         ]
         if ends:
-            leaving[job] = sorted(ends)
+            ending[job] = sorted(ends)
     assert {
-        job: sorted((name, id(h)) for name, h in held) for job, held in cluster_state.leaving().items()
-    } == leaving
+        job: sorted((name, id(h)) for name, h in held) for job, held in cluster_state.ending_allocations().items()
+    } == ending
     return {
         "machines": {name: (machine.raw, machine.group) for name, machine in cluster_state.machines.items()},
         "holds": holds,
--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -82,7 +82,7 @@
     def allocated_tasks(self, name: str) -> set[tuple[str, int]]:
         """Return the tasks allocated on a machine in the newest cluster state of any controller, as (job, task)."""
         cluster_states = [host.core.cluster_state for host in self.live() if host.core.follower.loaded]
-        machine = max(cluster_states, key=lambda cluster_state: cluster_state.upto).machines.get(name)
+        machine = max(cluster_states, key=lambda cluster_state: cluster_state.read_revision).machines.get(name)
         return (
             {(allocation.job, task) for allocation in machine.holds for task in allocation.tasks}
             if machine is not None
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -19,7 +19,7 @@
 from ashtray.jobs.cancellations import MOST_ENTRIES
 from ashtray.jobs.model import LIVE, OVER
 from ashtray.kernel import Coroutine, Kernel, Reply, Signal, Wait
-from ashtray.placement.cluster_state import MAX_OVER
+from ashtray.placement.cluster_state import MAX_FINAL_STATES
 from ashtray.placement.minimum_share import MAX_SERVED as MOST_SERVED
 from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.state_keys import GROUP
@@ -174,7 +174,7 @@
 
 
 MAX_HISTORY_ENTRIES = {
-    "ClusterState.over": MAX_OVER,
+    "ClusterState.final_states": MAX_FINAL_STATES,
     "MinimumShare._served": MOST_SERVED,
     "Estimates._medians": MAX_MEDIANS,
     "Estimates._jobs": MAX_JOBS,
