--- a/ashtray/placement/task_index.py
+++ b/ashtray/placement/task_index.py
@@ -13,7 +13,7 @@
 from ashtray.jobs.model import UNLIMITED, Job
 from ashtray.placement.machine_groups import Allocation, AllocationKey
 
-MAX_LEAVING_STALE = 100
+MAX_STALE_ENDING = 100
 """How many changed jobs may accumulate until their ending tasks are computed, requested or not."""
 NO_TASKS: set[int] = set()
 
@@ -174,7 +174,7 @@
             stale, self._stale = self._stale, set()
             for job_id in sorted(stale):
                 self._update_job(job_id)
-        if len(self._stale_ending) > MAX_LEAVING_STALE:
+        if len(self._stale_ending) > MAX_STALE_ENDING:
             # Bounds the set: `ending_allocations` may never be called by others.
             self.ending_allocations()
 
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -83,7 +83,7 @@
     group = parts[-1].group
     max_bytes = int(limits.value_bytes * FULL_SHARE)
     max_job_bytes = int(limits.value_bytes * RUNS_SHARE)
-    last_moved_job = cluster_state.moved.get(group.key, ("", ""))[1]
+    last_moved_job = cluster_state.split_progress.get(group.key, ("", ""))[1]
     for job_id, tasks in sorted(group.done.items()):
         if job_id <= last_moved_job or not cluster_state.is_live(job_id):
             continue
@@ -214,7 +214,7 @@
                 txn.remove(lock)
             return parts
         moved, remaining = parts[: limits.ops - 1], parts[limits.ops - 1 :]
-        progress = split_progress(moved, remaining, cluster_state.moved.get(group.key, ("", "")))
+        progress = split_progress(moved, remaining, cluster_state.split_progress.get(group.key, ("", "")))
         txn.guard(lock, cluster_state.version(lock)).put(lock, progress)
         return moved
 
--- a/tests/mutants/close_looks.py
+++ b/tests/mutants/close_looks.py
@@ -36,7 +36,7 @@
         "if not (yield from self.base.follower.barrier(patient=True)):",
         "if False:",
     ),
-    "absent-across-a-reload": (STATES, " followed and cluster_state.load_count == loads:", " followed:"),
+    "absent-across-a-reload": (STATES, " followed and cluster_state.load_count == load_count:", " followed:"),
     "unreadable-forwarded-request-is-unknown": (
         "ashtray/controller.py",
         'self.kernel.answer(request_id, 503, {"error": "the forwarded request cannot be read"}, 1)',
