--- a/ashtray/cli.py
+++ b/ashtray/cli.py
@@ -38,9 +38,9 @@
     """
     settings, operator_settings = load_settings(config), load_operator_settings(operators)
     from ashtray.store.client import Limits
-    from ashtray.workers.folding import most_group_size
+    from ashtray.workers.folding import max_group_size
 
-    most = most_group_size(Limits.of(settings.cluster.state))
+    most = max_group_size(Limits.of(settings.cluster.state))
     if operators is not None and operator_settings.group_size is not None and operator_settings.group_size > most:
         number = operator_settings.group_size
         reason = f"{number} machines do not fit a value of the state service (see cluster.state in {config})"
--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -31,7 +31,7 @@
 from ashtray.store.client import VALUE_SHARE, Limits, StoreClient
 from ashtray.store.follower import Follower
 from ashtray.teams.grants import Grants
-from ashtray.workers.folding import most_later
+from ashtray.workers.folding import max_deferred_tasks
 from ashtray.workers.renewal import RenewalGuard
 from ashtray.workers.splitting import Splitter
 from ashtray.workers.worker_manager import WorkerManager
@@ -58,7 +58,9 @@
         self.kernel = Kernel(rng, verbose)
         self.limits = Limits.of(settings.cluster.state)
         self.cluster_state = ClusterState(
-            int(self.limits.final_value_bytes * VALUE_SHARE), most_later(self.limits), lambda: self.kernel.wall_us
+            int(self.limits.final_value_bytes * VALUE_SHARE),
+            max_deferred_tasks(self.limits),
+            lambda: self.kernel.wall_us,
         )
         hosts = [peer.host_name for peer in settings.others]
         self.grants = Grants(settings.host_name, hosts, settings.cluster.teams, self.cluster_state)
--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -16,7 +16,7 @@
 from ashtray.fleet.machine_inventory import MachineInventory
 from ashtray.fleet.machine_review import MachineReview
 from ashtray.fleet.messages import deletion
-from ashtray.jobs.model import LIVE, Job
+from ashtray.jobs.model import LIVE_JOB_PREFIX, Job
 from ashtray.kernel import Coroutine
 from ashtray.placement.machine_groups import Machine
 from ashtray.placement.preemption import Victims, orderly, stop_victims
@@ -215,7 +215,9 @@
         txn = Txn()
         for job_id, attempt in broken.items():
             job = self.base.cluster_state.jobs[job_id]
-            txn.guard(LIVE + job_id, job.version).put(LIVE + job_id, job.value(broken=attempt))
+            txn.guard(LIVE_JOB_PREFIX + job_id, job.version).put(
+                LIVE_JOB_PREFIX + job_id, job.updated_record(broken=attempt)
+            )
         return edits.write(txn, removed)
 
     def _broken_gangs(self, machine: Machine) -> dict[str, int]:
--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -184,9 +184,9 @@
         if job.spec.same_zone and request.zone is None and candidates:
             request.zone = candidates[0].kind.zone
         patience_s = self.job_timing.patience_s(job)
-        latest_us = self.job_timing.latest_start_us(job)
+        start_by_us = self.job_timing.latest_start_us(job)
         return [
-            self._threshold(candidate, cheapest.price, patience_s, latest_us)
+            self._threshold(candidate, cheapest.price, patience_s, start_by_us)
             for candidate in candidates
             if request.zone in (None, candidate.kind.zone) and request.zone_allows(candidate.kind.zone) > 0
         ]
@@ -204,22 +204,22 @@
         return sorted(found)
 
     def _threshold(
-        self, candidate: Candidate, cheapest_price: float, patience_s: float, latest_us: int | None
+        self, candidate: Candidate, cheapest_price: float, patience_s: float, start_by_us: int | None
     ) -> Threshold:
         """Return from which expected start time on a candidate is worth its price.
 
-        `patience_s`: how long the job waits rather than pay the cheapest price once more.  `latest_us`: when the job
-        has to start to be done in time, if it has an objective for that.
+        `patience_s`: how long the job waits rather than pay the cheapest price once more.  `start_by_us`: when the
+        job has to start to be done in time, if it has an objective for that.
         """
         premium = max(candidate.price / cheapest_price - 1.0, 0.0) if cheapest_price else 0.0
         premium_wait_us = int(patience_s * SECOND_US * premium)
         wall_us = self.kernel.wall_us
         ready_us = wall_us + self.boot_times.expected_us(candidate.kind)
         start_us = ready_us + premium_wait_us + SECOND_US
-        if latest_us is not None:
+        if start_by_us is not None:
             # While the job can still be done in time it waits for the present machines: booting a machine for one
             # short task costs more than the task itself.
-            start_us = max(start_us, latest_us if premium > LARGE_PREMIUM else (wall_us + latest_us) // 2)
+            start_us = max(start_us, start_by_us if premium > LARGE_PREMIUM else (wall_us + start_by_us) // 2)
         return Threshold(start_us, candidate.kind)
 
 
--- a/ashtray/jobs/accepting.py
+++ b/ashtray/jobs/accepting.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Coroutine, Kernel, Reply, Signal
 from ashtray.store.client import Limits, StoreClient, Txn, Urgency
 
@@ -101,7 +101,9 @@
                 batch.append(job)
                 self._in_flight[job.job_id] = self._pending.pop(job.job_id)
             for job in batch:
-                txn.guard(LIVE + job.job_id, 0).guard(OVER + job.job_id, 0).put(LIVE + job.job_id, job.value)
+                txn.guard(LIVE_JOB_PREFIX + job.job_id, 0).guard(FINAL_STATE_PREFIX + job.job_id, 0).put(
+                    LIVE_JOB_PREFIX + job.job_id, job.value
+                )
             return txn if batch else None
 
         requested = min(len(self._pending), self._limits.ops)
@@ -112,7 +114,7 @@
             failed = set((reply.body or {}).get("failed", ())) if reply.status == 409 else set()
             for job in batch:
                 del self._in_flight[job.job_id]
-                known = not failed.isdisjoint((LIVE + job.job_id, OVER + job.job_id))
+                known = not failed.isdisjoint((LIVE_JOB_PREFIX + job.job_id, FINAL_STATE_PREFIX + job.job_id))
                 if failed and not known:
                     # Another job of the batch was accepted before, so nothing was written: retry this one.
                     self._pending[job.job_id] = job
--- a/ashtray/jobs/cancellations.py
+++ b/ashtray/jobs/cancellations.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-MOST_ENTRIES = 1_000
+MAX_ENTRIES = 1_000
 """Cancellations that are remembered: those of more than a minute, if the whole write budget goes into them."""
 Revision = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -40,12 +40,12 @@
     def __init__(self) -> None:
         self._entries: deque[tuple[int, str]] = deque()
         self._dropped_revision = 0
-        """The highest revision of the entries that were dropped to keep `MOST_ENTRIES`."""
+        """The highest revision of the entries that were dropped to keep `MAX_ENTRIES`."""
 
     def note(self, revision: int, job_id: str) -> None:
         """Remember that the write of `revision` cancelled a job."""
         self._entries.append((revision, job_id))
-        if len(self._entries) > MOST_ENTRIES:
+        if len(self._entries) > MAX_ENTRIES:
             dropped, _ = self._entries.popleft()
             self._dropped_revision = max(self._dropped_revision, dropped)
 
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -6,7 +6,7 @@
 
 from ashtray.base import Base
 from ashtray.jobs.answers import AnswerSender, Ended, JobState, RetryLater, UserAnswer
-from ashtray.jobs.model import MOST_LATER, Job
+from ashtray.jobs.model import MAX_DEFERRED_TASKS, Job
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import SECOND_US, Coroutine, Sleep
 from ashtray.peers.presence import Peers, Presence
@@ -71,7 +71,7 @@
         if job is None:
             return None
         txn = Txn()
-        if job.spec.kind != "service" and job.spec.tasks <= MOST_LATER:
+        if job.spec.kind != "service" and job.spec.tasks <= MAX_DEFERRED_TASKS:
             # Such a job counts as done once its group records say that all its tasks are done, so the transaction
             # must fail if one of them was written meanwhile.  What this process has just folded into group records
             # counts here before it is read back, because other controllers may have read it already (point 13).
--- a/ashtray/jobs/dependencies.py
+++ b/ashtray/jobs/dependencies.py
@@ -160,17 +160,17 @@
         done_us = [self._done_us.get(dependency) or 0 for dependency in job.spec.needs]
         job.ready_us = max([job.record.accepted_us, *done_us])
         spec = job.spec
-        job.priority, job.latest_us = spec.priority, None
+        job.priority, job.start_by_us = spec.priority, None
         if spec.deadline_us is not None:
-            job.latest_us = job.record.accepted_us + spec.deadline_us - 2 * spec.estimate_us
+            job.start_by_us = job.record.accepted_us + spec.deadline_us - 2 * spec.estimate_us
         for dependent_id in self.dependents.get(job.id, ()):
             dependent = self._jobs.get(dependent_id)
             if dependent is None or dependent_id in self.cancelled_by:
                 continue
             job.priority = min(job.priority, dependent.priority)
-            if dependent.latest_us is not None:
-                latest_us = dependent.latest_us - 2 * spec.estimate_us
-                job.latest_us = latest_us if job.latest_us is None else min(job.latest_us, latest_us)
+            if dependent.start_by_us is not None:
+                start_by_us = dependent.start_by_us - 2 * spec.estimate_us
+                job.start_by_us = start_by_us if job.start_by_us is None else min(job.start_by_us, start_by_us)
 
     def _propagate_urgency(self, job_ids: Iterable[str]) -> None:
         """Recompute the urgency of some jobs, and of their transitive dependencies as far as it changes."""
@@ -178,7 +178,7 @@
         while remaining:
             job = self._jobs.get(remaining.pop())
             if job is not None:
-                before = job.priority, job.latest_us
+                before = job.priority, job.start_by_us
                 self._update_job(job)
-                if (job.priority, job.latest_us) != before:
+                if (job.priority, job.start_by_us) != before:
                     remaining += job.spec.needs
--- a/ashtray/jobs/job_timing.py
+++ b/ashtray/jobs/job_timing.py
@@ -51,7 +51,11 @@
 
         None for jobs that should start at once and for jobs that no objective gives a time to be done.
         """
-        if job.spec.job_class in self.wait_objectives_s or job.latest_us is not None and job.spec.deadline_us is None:
+        if (
+            job.spec.job_class in self.wait_objectives_s
+            or job.start_by_us is not None
+            and job.spec.deadline_us is None
+        ):
             # A job whose dependents have deadlines must not use up their time.
             return None
         within_s = self._finished_s.get(job.spec.job_class)
@@ -81,4 +85,4 @@
 
     def has_time_objective(self, job: Job) -> bool:
         """Return whether an objective or a deadline, its own or a dependent's, states a time for a job."""
-        return self._all_timed or job.spec.job_class in self._timed_classes or job.latest_us is not None
+        return self._all_timed or job.spec.job_class in self._timed_classes or job.start_by_us is not None
--- a/ashtray/jobs/model.py
+++ b/ashtray/jobs/model.py
@@ -11,9 +11,9 @@
 
 ROOT = "ashtray/"
 NOW = "ashtray/now/"
-LIVE = "ashtray/now/job/"
+LIVE_JOB_PREFIX = "ashtray/now/job/"
 """Prefix of the keys of live jobs' records."""
-OVER = "ashtray/over/"
+FINAL_STATE_PREFIX = "ashtray/over/"
 """Prefix of the keys of final states, which are kept for ever."""
 MAX_TASKS = 100_000
 """Most tasks of a job."""
@@ -21,7 +21,7 @@
 PRIORITIES = ("production", "high", "normal", "low")
 """The most urgent first; a job's priority is an index into this tuple."""
 
-MOST_LATER = 16
+MAX_DEFERRED_TASKS = 16
 """Jobs of at most so many tasks count as done once their group records say so, before their own records are moved."""
 UNLIMITED = 1 << 30
 SHORT_RUNS_BYTES = 100
@@ -90,11 +90,11 @@
 class Job:
     """A live job in the cluster state."""
 
-    __slots__ = ("id", "record", "spec", "version", "finished", "most_bytes", "priority", "ready_us", "latest_us")
+    __slots__ = ("id", "record", "spec", "version", "finished", "max_bytes", "priority", "ready_us", "start_by_us")
 
-    def __init__(self, job_id: str, value: Any, version: int, most_bytes: int = UNLIMITED) -> None:
+    def __init__(self, job_id: str, value: Any, version: int, max_bytes: int = UNLIMITED) -> None:
         self.id = job_id
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         """Most bytes that the job's record may take."""
         self.record = msgspec.convert(value, JobRecord)
         self.spec = self.record.spec
@@ -103,12 +103,12 @@
         """The job's own priority, or that of a more urgent job that depends on it."""
         self.ready_us = self.record.accepted_us
         """When the job was accepted or its last dependency was done, in microseconds of the time of day."""
-        self.latest_us: int | None = None
+        self.start_by_us: int | None = None
         """When the job must start to meet its own deadline and those of its dependents; None if there are none."""
         self.finished = decode_runs(self.record.finished)
 
     @property
-    def suspect(self) -> bool:
+    def fails_on_several_machines(self) -> bool:
         """Return whether the job failed on two machines or more: the fault is then likely its own, not theirs."""
         return len(self.record.failed_on) >= 2
 
@@ -117,7 +117,7 @@
         """Return how many tasks of a gang that is being placed in portions have been placed; 0 for any other job."""
         return self.record.portion if self.record.attempt > self.record.broken else 0
 
-    def value(
+    def updated_record(
         self,
         *,
         finished: set[int] | None = None,
@@ -144,7 +144,7 @@
             old.portion if portion is None else portion,
         )
         if len(runs) > SHORT_RUNS_BYTES:
-            max_bytes = self.most_bytes - (len(msgspec.json.encode(record)) - len(runs))
+            max_bytes = self.max_bytes - (len(msgspec.json.encode(record)) - len(runs))
             if len(runs) > max_bytes:
                 # A finished task that is dropped here is started again and ends at once, because its result is kept.
                 # A record that is too large to be written would block the whole job.
@@ -152,7 +152,7 @@
         return msgspec.to_builtins(record)
 
     @property
-    def most_open(self) -> int:
+    def max_open_tasks(self) -> int:
         """Return how many tasks of an array may have allocations at a time.
 
         The bound keeps the runs of finished tasks small enough for the job's record.  Tasks are placed lowest first,
@@ -160,11 +160,11 @@
         """
         tasks = self.spec.tasks
         digits = len(str(tasks))
-        if self.most_bytes >= tasks * (digits + 1):
+        if self.max_bytes >= tasks * (digits + 1):
             return tasks
         other_bytes = len(msgspec.json.encode(self.record)) - len(self.record.finished) + SPARE_BYTES
-        return max(min((self.most_bytes - other_bytes) // (digits + 1), MAX_OPEN_TASKS), 1)
+        return max(min((self.max_bytes - other_bytes) // (digits + 1), MAX_OPEN_TASKS), 1)
 
-    def over(self, status: str, done: int, at_us: int) -> Any:
+    def final_state(self, status: str, done: int, at_us: int) -> Any:
         """Return the job's final state, which is kept for ever; `at_us` is when the job ended, by the time of day."""
         return {"status": status, "done": done, "at_us": at_us}
--- a/ashtray/jobs/states.py
+++ b/ashtray/jobs/states.py
@@ -6,10 +6,10 @@
 
 from ashtray.base import Base
 from ashtray.jobs.answers import STATE_UNREADABLE, JobState, NeverAccepted, RetryLater
-from ashtray.jobs.model import OVER, Job
+from ashtray.jobs.model import FINAL_STATE_PREFIX, Job
 from ashtray.kernel import SECOND_US, Coroutine, Signal, Sleep, Wait
 from ashtray.store.client import Urgency
-from ashtray.workers.folding import ends_later
+from ashtray.workers.folding import may_defer_move
 
 MAX_DEPENDENCY_READS = 8
 """Most reads of dependencies' final states that `resolve` keeps in flight at a time."""
@@ -84,7 +84,7 @@
         cluster_state = self.base.cluster_state
         if job.id in cluster_state.dependencies.cancelled_by:
             return JobState(job.id, "cancelled")
-        if ends_later(job, self.base.limits):
+        if may_defer_move(job, self.base.limits):
             if job.id in cluster_state.completed():
                 return JobState(job.id, "done", job.spec.tasks)
             if cluster_state.all_done(job):
@@ -157,7 +157,7 @@
         signal = self._reads[job_id] = Signal()
         load_count, followed = cluster_state.load_count, self.base.follower.loaded
         try:
-            reply = yield from self.base.store.read(OVER + job_id, urgency)
+            reply = yield from self.base.store.read(FINAL_STATE_PREFIX + job_id, urgency)
         finally:
             del self._reads[job_id]
         if reply.status == 200:
--- a/ashtray/jobs/submitting.py
+++ b/ashtray/jobs/submitting.py
@@ -10,7 +10,7 @@
 from ashtray.base import Base
 from ashtray.jobs.accepting import AcceptanceBatcher
 from ashtray.jobs.answers import Accepted, AnswerSender, NeverAccepted, Refused, RetryLater, UserAnswer
-from ashtray.jobs.model import LIVE, SHORT_RUNS_BYTES, SPARE_BYTES, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, SHORT_RUNS_BYTES, SPARE_BYTES, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import Coroutine
 from ashtray.peers.presence import Presence
@@ -72,7 +72,7 @@
         else:
             status, revision = yield from self.accepting.accept(job_id, value)
         if status == 200:
-            base.follower.show({LIVE + job_id: value}, (), revision)
+            base.follower.show({LIVE_JOB_PREFIX + job_id: value}, (), revision)
             summary = f"{spec.kind} of {spec.tasks}, {spec.job_class}, {spec.team}"
             self.kernel.log("info", f"{job_id} accepted ({summary})")
             return Accepted(job_id)
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -13,7 +13,7 @@
 
 from ashtray.jobs.cancellations import CancellationLog
 from ashtray.jobs.dependencies import Dependencies
-from ashtray.jobs.model import LIVE, MOST_LATER, OVER, UNLIMITED, Job
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, MAX_DEFERRED_TASKS, UNLIMITED, Job
 from ashtray.placement.group_index import GroupIndex
 from ashtray.placement.machine_groups import Allocation, Machine
 from ashtray.placement.machine_health import machine_blame
@@ -47,14 +47,17 @@
     """The cluster state as of the follower's last read, plus this controller's own commits."""
 
     def __init__(
-        self, job_bytes: int = UNLIMITED, most_later: int = MOST_LATER, clock: Callable[[], int] = _no_clock
+        self,
+        job_bytes: int = UNLIMITED,
+        max_deferred_tasks: int = MAX_DEFERRED_TASKS,
+        clock: Callable[[], int] = _no_clock,
     ) -> None:
         """Start without any records.
 
-        `job_bytes` is the maximum size of a job's record.  Jobs of up to `most_later` tasks count as done before
-        their records are moved to the finished jobs.  `clock` returns the time of day in microseconds.
+        `job_bytes` is the maximum size of a job's record.  Jobs of up to `max_deferred_tasks` tasks count as done
+        before their records are moved to the finished jobs.  `clock` returns the time of day in microseconds.
         """
-        self._most_later = most_later
+        self._max_deferred_tasks = max_deferred_tasks
         self._clock = clock
         self.load_count = 0
         """How often all records were read from scratch."""
@@ -113,7 +116,9 @@
 
     def _clear_indexes(self) -> None:
         self.dependencies = Dependencies(self.jobs)
-        self._tasks = TaskIndex(self.jobs, self.dependencies, self._is_confirmed, self._clock, self._most_later)
+        self._tasks = TaskIndex(
+            self.jobs, self.dependencies, self._is_confirmed, self._clock, self._max_deferred_tasks
+        )
         self._groups = GroupIndex(self._tasks.job_changed)
         self._tasks.follow(self._groups.allocations, self._groups.done)
         self.groups = self._groups.groups
@@ -137,8 +142,8 @@
 
     def put(self, key: str, value: Any, version: int) -> None:
         """Apply a record of the given version; it is ignored unless it is newer than what is known."""
-        if key.startswith(OVER):
-            self.note_final_state(key[len(OVER) :], value, version)
+        if key.startswith(FINAL_STATE_PREFIX):
+            self.note_final_state(key[len(FINAL_STATE_PREFIX) :], value, version)
             return
         if max(self._versions.get(key, 0), self._removed_at.get(key, 0)) >= version:
             return
@@ -147,8 +152,8 @@
         if key.startswith(GROUP):
             group = self._groups.put_group(key, value, version)
             self.compact_seen = self.compact_seen or group.packed is not None
-        elif key.startswith(LIVE):
-            self._put_job(key[len(LIVE) :], value, version)
+        elif key.startswith(LIVE_JOB_PREFIX):
+            self._put_job(key[len(LIVE_JOB_PREFIX) :], value, version)
         elif key.startswith(SPLIT):
             self._groups.put_split(GROUP + key[len(SPLIT) :], (value["machine"], value["job"]))
         else:
@@ -188,8 +193,8 @@
         self.changes += 1
         if key.startswith(GROUP):
             self._groups.remove_group(key)
-        elif key.startswith(LIVE):
-            self._remove_job(key[len(LIVE) :])
+        elif key.startswith(LIVE_JOB_PREFIX):
+            self._remove_job(key[len(LIVE_JOB_PREFIX) :])
         elif key.startswith(SPLIT):
             self._groups.put_split(GROUP + key[len(SPLIT) :], None)
         else:
--- a/ashtray/placement/machine_health.py
+++ b/ashtray/placement/machine_health.py
@@ -56,4 +56,4 @@
     """
     if not job.record.errors or finished(job):
         return FULL_BLAME
-    return NO_BLAME if job.suspect else HALF_BLAME
+    return NO_BLAME if job.fails_on_several_machines else HALF_BLAME
--- a/ashtray/placement/minimum_share.py
+++ b/ashtray/placement/minimum_share.py
@@ -85,7 +85,11 @@
                     self._served.pop(job_id, None)
         overdue: Counter[Class] = Counter()
         for job in cluster_state.jobs.values():
-            if job.ready_us < self._since_us or job.suspect or not cluster_state.dependencies.ready(job):
+            if (
+                job.ready_us < self._since_us
+                or job.fails_on_several_machines
+                or not cluster_state.dependencies.ready(job)
+            ):
                 continue
             name = job.spec.team, job.spec.job_class
             self._live[job.id] = name
@@ -118,7 +122,7 @@
         by_class: dict[Class, list[Job]] = {name: [] for name in due}
         for job in jobs[first:]:
             found = by_class.get((job.spec.team, job.spec.job_class))
-            if found is not None and not job.suspect:
+            if found is not None and not job.fails_on_several_machines:
                 found.append(job)
         moved = [job for name, found in by_class.items() for job in found[: due[name]]]
         names = {job.id for job in moved}
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -12,7 +12,7 @@
 
 from ashtray.base import Base
 from ashtray.jobs.job_timing import JobTiming
-from ashtray.jobs.model import LIVE, Job
+from ashtray.jobs.model import LIVE_JOB_PREFIX, Job
 from ashtray.kernel import SECOND_US, Coroutine, Signal, Sleep, Wait
 from ashtray.peers.presence import Presence
 from ashtray.placement.cluster_state import ClusterState
@@ -216,7 +216,7 @@
             # controllers.
             shared = mine and self.grants.has_limit(job.spec.team)
             tasks = plan.wanted(job, base.kernel.wall_us, shared)
-            urgent = job.priority <= URGENT_PRIORITY and not job.suspect
+            urgent = job.priority <= URGENT_PRIORITY and not job.fails_on_several_machines
             if not mine and not urgent:
                 tasks = self._within_owner_share(job, tasks, peer_usage)
             if not tasks:
@@ -253,7 +253,9 @@
                         if any(id(capacity) in freed for capacity, _ in choices):
                             self.worker_manager.fold_now()
                     break
-                if not job.suspect and ((job.spec.kind == "gang" and urgent) or job.id in guaranteed):
+                if not job.fails_on_several_machines and (
+                    (job.spec.kind == "gang" and urgent) or job.id in guaranteed
+                ):
                     if plan.reserve_stopping_capacity(job, need, within_s):
                         self.counts["urgent jobs wait for stops"] += 1
                         break
@@ -542,7 +544,9 @@
             draft.add(job, item, number, base.kernel.wall_us, base.settings.host_name)
             placed = job.portion + item.count
             portion = placed if job.spec.kind == "gang" and placed < job.spec.tasks else 0
-            txn.guard(LIVE + job.id, job.version).put(LIVE + job.id, job.value(attempt=number, portion=portion))
+            txn.guard(LIVE_JOB_PREFIX + job.id, job.version).put(
+                LIVE_JOB_PREFIX + job.id, job.updated_record(attempt=number, portion=portion)
+            )
             where = ", ".join(f"{n} on {capacity.machine.name}" for capacity, n in item.choices)
             lines.append(f"{job.id} attempt {number}: {where}")
         if not lines:
@@ -645,7 +649,7 @@
         self._bytes += self._size(item)
         self.items.append(item)
         self._jobs.add(item.job_id)
-        self.urgent = self.urgent or (job.priority <= URGENT_PRIORITY and not job.suspect)
+        self.urgent = self.urgent or (job.priority <= URGENT_PRIORITY and not job.fails_on_several_machines)
         self.groups |= item.groups()
         cpus, gpus = self.used.get(job.spec.team, (0.0, 0.0))
         self.used[job.spec.team] = (cpus + item.count * job.spec.cpus, gpus + item.count * job.spec.gpus)
@@ -743,15 +747,15 @@
 
 
 def cached(
-    images: list[tuple[str, float]], image: str, size: float, cache_gb: float, most_bytes: float
+    images: list[tuple[str, float]], image: str, size: float, cache_gb: float, max_bytes: float
 ) -> list[tuple[str, float]]:
     """Return a machine's cached images after it has used `image`, which goes last.
 
-    The images used longest ago are dropped until the rest fits into the cache and into `most_bytes` of the record.
+    The images used longest ago are dropped until the rest fits into the cache and into `max_bytes` of the record.
     """
     kept = [*(entry for entry in images if entry[0] != image), (image, size)]
     while len(kept) > 1 and (
-        sum(gb for _, gb in kept) > cache_gb or sum(len(name) + IMAGE_ENTRY_BYTES for name, _ in kept) > most_bytes
+        sum(gb for _, gb in kept) > cache_gb or sum(len(name) + IMAGE_ENTRY_BYTES for name, _ in kept) > max_bytes
     ):
         kept.pop(0)
     return kept
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -66,9 +66,9 @@
 
     def rank(job: Job) -> tuple[int, int, int, int, str]:
         # The latest start that still meets the deadline, provided that the estimates are right.
-        due = job.ready_us if job.latest_us is None else min(job.ready_us, job.latest_us)
+        due = job.ready_us if job.start_by_us is None else min(job.ready_us, job.start_by_us)
         # A job that fails on every machine must not delay others.
-        priority = len(PRIORITIES) if job.suspect else job.priority
+        priority = len(PRIORITIES) if job.fails_on_several_machines else job.priority
         return priority, job.id not in guaranteed, due, job.ready_us, job.id
 
     jobs = sorted((cluster_state.jobs[job_id] for job_id in cluster_state.waiting()), key=rank)
@@ -81,7 +81,7 @@
 def back_off_us(job: Job) -> int:
     """Return how long a failed job waits before its next attempt; longer once it has failed on several machines."""
     errors = job.record.errors
-    if job.suspect:
+    if job.fails_on_several_machines:
         return min(2 << min(errors, 10), 120) * SECOND_US
     return 0 if errors < 3 else min(1 << min(errors - 2, 10), 60) * SECOND_US
 
@@ -220,7 +220,7 @@
         if job.record.errors and wall_us - job.record.error_us < back_off_us(job):
             return []
         left = self.cluster_state.waiting().get(job.id, [])
-        if job.suspect and job.spec.kind != "gang":
+        if job.fails_on_several_machines and job.spec.kind != "gang":
             # One task is enough to find out whether the job still fails.
             left = [] if self.cluster_state.placed(job.id) else left[:1]
         team = self.teams.get(job.spec.team)
--- a/ashtray/placement/queue_order.py
+++ b/ashtray/placement/queue_order.py
@@ -102,7 +102,7 @@
         done = self._done.get(name, ()) if job.spec.kind == "gang" else ()
         # A stage that other jobs wait for, or a job with a deadline, is in time as long as the deadline can be met:
         # put back for a time of its own class, it would delay the end of its pipeline.
-        in_time = job.latest_us is not None and wall_us <= job.latest_us
+        in_time = job.start_by_us is not None and wall_us <= job.start_by_us
         if in_time or (not waits and not done):
             by_work = not self._job_timing.has_time_objective(job)
             age_us = wall_us - job.ready_us
@@ -148,7 +148,7 @@
                 too_late.add(job.id)
             within = self._guaranteed and job.id in guaranteed
             stated = standing.stated > 0, self._job_timing.has_time_objective(job)
-            level = (job.priority, job.suspect, job.spec.team, within, *stated)
+            level = (job.priority, job.fails_on_several_machines, job.spec.team, within, *stated)
             levels.append(level)
             by_level.setdefault(level, []).append((rank, job))
         if not changes:
--- a/ashtray/placement/task_index.py
+++ b/ashtray/placement/task_index.py
@@ -26,7 +26,7 @@
     if len(placed) + len(finished) >= count and len(placed | finished) >= count:
         return []
     unplaced = (n for n in range(count) if n not in placed and n not in finished)
-    return list(islice(unplaced, max(job.most_open - len(placed), 0)))
+    return list(islice(unplaced, max(job.max_open_tasks - len(placed), 0)))
 
 
 def _unplaced_gang_tasks(job: Job, placed: set[int], finished: set[int]) -> list[int]:
@@ -47,19 +47,19 @@
         dependencies: Dependencies,
         is_confirmed: Callable[[Job], bool],
         clock: Callable[[], int],
-        most_later: int,
+        max_deferred_tasks: int,
     ) -> None:
         """Index the live `jobs`; `follow` passes in the tables of the groups.
 
         `is_confirmed` returns whether all records of a job's tasks are from revisions that were read completely.
-        `clock` returns the time of day in microseconds.  Jobs of up to `most_later` tasks count as done before their
-        records are moved to the finished jobs.
+        `clock` returns the time of day in microseconds.  Jobs of up to `max_deferred_tasks` tasks count as done
+        before their records are moved to the finished jobs.
         """
         self._jobs = jobs
         self._dependencies = dependencies
         self._is_confirmed = is_confirmed
         self._clock = clock
-        self._most_later = most_later
+        self._max_deferred_tasks = max_deferred_tasks
         self._allocations: Mapping[str, dict[AllocationKey, Allocation]] = {}
         self._done: Mapping[str, dict[str, set[int]]] = {}
         self._placed: dict[str, set[int]] = {}
@@ -192,7 +192,7 @@
 
     def _update_done(self, job: Job) -> None:
         """Count a job as complete; a small one only if confirmed (point 13), as its dependents may then start."""
-        small = job.spec.tasks <= self._most_later
+        small = job.spec.tasks <= self._max_deferred_tasks
         if small and not self._is_confirmed(job):
             self._unconfirmed.add(job.id)
             return
--- a/ashtray/standby/intents.py
+++ b/ashtray/standby/intents.py
@@ -95,8 +95,8 @@
             if intent.at_us < before_us or all_seen:
                 del self.open[request]
 
-    def value(self, by: str, most_bytes: float, batch: Iterable[Intent] = ()) -> Any:
-        """Return the record to write with a new batch, of at most `most_bytes`.
+    def value(self, by: str, max_bytes: float, batch: Iterable[Intent] = ()) -> Any:
+        """Return the record to write with a new batch, of at most `max_bytes`.
 
         A record that would be larger loses the machine names first, beginning with the oldest intent, since repeating
         a request gives them again.  Then it loses whole intents, the oldest first, as the list shows their machines
@@ -106,11 +106,11 @@
         sizes = [len(msgspec.json.encode(intent)) + 1 for intent in kept]
         size = len(msgspec.json.encode(IntentsRecord(by, self.all))) + 16 + sum(sizes)
         for n, intent in enumerate(kept):
-            if size > most_bytes and intent.names is not None:
+            if size > max_bytes and intent.names is not None:
                 shortened = msgspec.structs.replace(intent, names=None)
                 size += len(msgspec.json.encode(shortened)) + 1 - sizes[n]
                 kept[n], sizes[n] = shortened, len(msgspec.json.encode(shortened)) + 1
-        while kept and size > most_bytes:
+        while kept and size > max_bytes:
             size -= sizes.pop(0)
             kept.pop(0)
         return msgspec.to_builtins(IntentsRecord(by, self.all, kept))
--- a/ashtray/teams/grants.py
+++ b/ashtray/teams/grants.py
@@ -194,13 +194,15 @@
                 host, number = owner(job), len(waiting.get(job.id, ()))
                 demand = found.get(host, NO_DEMAND)
                 first_gang = (
-                    min(demand.first_gang, turn) if job.spec.kind == "gang" and not job.suspect else demand.first_gang
+                    min(demand.first_gang, turn)
+                    if job.spec.kind == "gang" and not job.fails_on_several_machines
+                    else demand.first_gang
                 )
                 smallest_task = _smallest_task(demand, job.spec) if number else demand.smallest_task
                 cpus, gpus = demand.cpus + number * job.spec.cpus, demand.gpus + number * job.spec.gpus
                 first_urgent = (
                     min(demand.first_urgent, turn)
-                    if job.priority <= URGENT_PRIORITY and not job.suspect
+                    if job.priority <= URGENT_PRIORITY and not job.fails_on_several_machines
                     else demand.first_urgent
                 )
                 found[host] = Demand(cpus, gpus, first_gang, smallest_task, first_urgent)
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -9,7 +9,7 @@
 from collections.abc import Container, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ashtray.jobs.model import LIVE, MOST_LATER, OVER, Job
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, MAX_DEFERRED_TASKS, Job
 from ashtray.kernel import SECOND_US, Kernel
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_edit import GroupEdit
@@ -199,8 +199,12 @@
 
 def end_job(txn: Txn, job: Job, status: str, done: int, at_us: int) -> Txn:
     """Add to a transaction the move of a job's record to the final states; returns the transaction."""
-    over = job.over(status, done, at_us)
-    return txn.guard(LIVE + job.id, job.version).remove(LIVE + job.id).put(OVER + job.id, over)
+    final_state = job.final_state(status, done, at_us)
+    return (
+        txn.guard(LIVE_JOB_PREFIX + job.id, job.version)
+        .remove(LIVE_JOB_PREFIX + job.id)
+        .put(FINAL_STATE_PREFIX + job.id, final_state)
+    )
 
 
 def put_job(kernel: Kernel, cluster_state: ClusterState, txn: Txn, job: Job, fold: JobFold) -> bool:
@@ -208,7 +212,7 @@
     if completes_job(cluster_state, job, fold):
         end_job(txn, job, "done", job.spec.tasks, kernel.wall_us)
         return True
-    txn.guard(LIVE + job.id, job.version)
+    txn.guard(LIVE_JOB_PREFIX + job.id, job.version)
     errors, failed_on = job.record.errors, job.record.failed_on
     if fold.successes:
         errors, failed_on = 0, []
@@ -217,8 +221,8 @@
         failed_on = [name for name in failed_on if name not in fold.failed_on]
         failed_on = [*failed_on, *sorted(fold.failed_on)][-MAX_REMEMBERED_FAILURES:]
     txn.put(
-        LIVE + job.id,
-        job.value(
+        LIVE_JOB_PREFIX + job.id,
+        job.updated_record(
             finished=job.finished | fold.finished if fold.spilled else None,
             broken=max(job.record.broken, fold.broken),
             errors=errors,
@@ -241,18 +245,18 @@
     return len(known) + len(fold.finished) >= tasks and len(known | fold.finished) >= tasks
 
 
-def ends_later(job: Job, limits: Limits) -> bool:
+def may_defer_move(job: Job, limits: Limits) -> bool:
     """Return whether a job counts as done once the group records say so, while its own record is moved later.
 
     Moving the record costs two writes, which can wait.  Until then a cancellation has to guard the groups that have
     the job's tasks, so the job must be small enough for that.
     """
-    return job.spec.kind != "service" and job.spec.tasks <= most_later(limits)
+    return job.spec.kind != "service" and job.spec.tasks <= max_deferred_tasks(limits)
 
 
-def most_later(limits: Limits) -> int:
+def max_deferred_tasks(limits: Limits) -> int:
     """Return how many tasks a job may have at most if its record is moved later."""
-    return min(MOST_LATER, limits.final_guards - 2)
+    return min(MAX_DEFERRED_TASKS, limits.final_guards - 2)
 
 
 class Fold:
@@ -405,7 +409,9 @@
 
     def _op_count(self, job: Job, fold: JobFold) -> int:
         writes = self._changes_job_record(job, fold)
-        if completes_job(self.cluster_state, job, fold) and (writes or fold.ends or not ends_later(job, self.limits)):
+        if completes_job(self.cluster_state, job, fold) and (
+            writes or fold.ends or not may_defer_move(job, self.limits)
+        ):
             return 2
         return 1 if writes else 0
 
@@ -461,7 +467,7 @@
     return max(min(fits, MAX_GROUP_MACHINES), 1)
 
 
-def most_group_size(limits: Limits) -> int:
+def max_group_size(limits: Limits) -> int:
     """Return how many machines a record can have at most under the lowest value size limit to come."""
     return int(limits.final_value_bytes * FULL_SHARE / NEW_MACHINE_BYTES) + 1
 
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -16,7 +16,7 @@
 from ashtray.placement.machine_groups import Group, Machine
 from ashtray.store.client import Txn, Urgency
 from ashtray.workers import messages
-from ashtray.workers.folding import Evidence, Fold, adoption, allocation_is_dead, ends_later, must_save_now
+from ashtray.workers.folding import Evidence, Fold, adoption, allocation_is_dead, may_defer_move, must_save_now
 from ashtray.workers.messages import Report, TaskKey, parse_report
 from ashtray.workers.order_delivery import OrderDelivery, note_outstanding
 from ashtray.workers.renewal import RenewalGuard
@@ -604,7 +604,9 @@
         """
         cluster_state = self.base.cluster_state
         jobs = (cluster_state.jobs[job_id] for job_id in sorted(cluster_state.completed()))
-        return [job for job in jobs if ends_later(job, self.base.limits) == deferrable and self.presence.mine(job)]
+        return [
+            job for job in jobs if may_defer_move(job, self.base.limits) == deferrable and self.presence.mine(job)
+        ]
 
     def move_completed_jobs(self) -> Coroutine[None]:
         """Move the records of jobs that already count as done, if there is little else to write or they are late."""
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -19,7 +19,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.controller import Controller
 from ashtray.jobs.messages import parse_submission
-from ashtray.jobs.model import LIVE, JobRecord
+from ashtray.jobs.model import LIVE_JOB_PREFIX, JobRecord
 from ashtray.kernel import SECOND_US, Answer, Call, Coroutine, Output, Reply, Send
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP, TYPES
@@ -368,7 +368,7 @@
 def running_job(pieces: int, done: int, **over: Any) -> State:
     """A state service with one job: each task has a machine and group of its own, the first `done` have completed."""
     state = world()
-    put(state, LIVE + JOB, job_record(JOB, pieces=pieces, **over))
+    put(state, LIVE_JOB_PREFIX + JOB, job_record(JOB, pieces=pieces, **over))
     for task in range(pieces):
         ended = task < done
         holds, runs = ({}, {JOB: str(task)}) if ended else ({JOB: str(task)}, {})
--- a/tests/model.py
+++ b/tests/model.py
@@ -201,12 +201,12 @@
         steady_us = self.now + self.now * host.drift_ppm // MILLION
         return steady_us + SECOND, self.now + 10**12 + host.time_of_day_offset_us
 
-    def drift(self, most_ppm: int) -> None:
+    def drift(self, max_ppm: int) -> None:
         """Let all monotonic clocks run fast or slow by up to that much; only before the first event."""
         assert self.now == 0
-        self.drift_ppm = most_ppm
+        self.drift_ppm = max_ppm
         for host in self.hosts:
-            host.drift_ppm = self.rng.choice((-most_ppm, 0, most_ppm))
+            host.drift_ppm = self.rng.choice((-max_ppm, 0, max_ppm))
 
     def crash(self, number: int, back_s: float) -> None:
         """End a controller's process without a signal, and start it again after that many seconds."""
--- a/tests/model_troubles.py
+++ b/tests/model_troubles.py
@@ -256,7 +256,7 @@
 
     # Users
 
-    def cancel_running(self, count: int, hang_s: float = 0.0, most_machines: int = 8) -> list[str]:
+    def cancel_running(self, count: int, hang_s: float = 0.0, max_machines: int = 8) -> list[str]:
         """Cancel up to `count` running jobs within 0.2 s, while some of their machines hang; return the jobs."""
         running = sorted({job_id for job_id, _ in self.on if not self.jobs[job_id].cancel_asked})
         chosen = [job_id for job_id in running if self.jobs[job_id].accepted_us is not None][:count]
@@ -264,7 +264,7 @@
         for job_id in chosen:
             self.at(self.rng.randrange(1, SECOND // 5), lambda job_id=job_id: self.cancel(job_id))
         if hang_s:
-            for name in machines[:most_machines]:
+            for name in machines[:max_machines]:
                 self.hang(name, hang_s)
         self.happened["running jobs cancelled"] += len(chosen)
         return chosen
--- a/tests/mutants/answers.py
+++ b/tests/mutants/answers.py
@@ -27,8 +27,8 @@
     ),
     "accepted-although-it-is-over": (
         "ashtray/jobs/accepting.py",
-        ".guard(LIVE + job.job_id, 0).guard(OVER + job.job_id, 0).put(",
-        ".guard(LIVE + job.job_id, 0).put(",
+        ".guard(LIVE_JOB_PREFIX + job.job_id, 0).guard(FINAL_STATE_PREFIX + job.job_id, 0).put(",
+        ".guard(LIVE_JOB_PREFIX + job.job_id, 0).put(",
     ),
     "judged-before-the-types-are-known": (
         "ashtray/jobs/submitting.py",
--- a/tests/mutants/lost_answers.py
+++ b/tests/mutants/lost_answers.py
@@ -31,8 +31,8 @@
     ),
     "accepted-after-its-end": (
         "ashtray/jobs/accepting.py",
-        "txn.guard(LIVE + job.job_id, 0).guard(OVER + job.job_id, 0).put(",
-        "txn.guard(LIVE + job.job_id, 0).put(",
+        "txn.guard(LIVE_JOB_PREFIX + job.job_id, 0).guard(FINAL_STATE_PREFIX + job.job_id, 0).put(",
+        "txn.guard(LIVE_JOB_PREFIX + job.job_id, 0).put(",
     ),
     "late-adoption-into-a-new-group": (
         "ashtray/workers/folding.py",
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -81,7 +81,7 @@
         "return now_us - self.informed_us(now_us, read_us) <= self.bound_us",
         "return True",
     ),
-    "job-not-guarded": (PLACER, "txn.guard(LIVE + job.id, job.version).put(", "txn.put("),
+    "job-not-guarded": (PLACER, "txn.guard(LIVE_JOB_PREFIX + job.id, job.version).put(", "txn.put("),
     "groups-not-guarded": (GROUP_EDIT, "        txn.guard(group.key, group.version)\n", ""),
     "team-not-guarded": (PLACER, "txn.guard(TEAM + name, cluster_state.version(TEAM + name))", "pass"),
     "share-taken-at-once": (
@@ -108,8 +108,8 @@
     "nothing-ages": (ORDER, "return -1 if self.aged or self.starts_first else self.missed", "return self.missed"),
     "bands-across-teams": (
         ORDER,
-        "level = (job.priority, job.suspect, job.spec.team, ",
-        'level = (job.priority, job.suspect, "", ',
+        "level = (job.priority, job.fails_on_several_machines, job.spec.team, ",
+        'level = (job.priority, job.fails_on_several_machines, "", ',
     ),
     "least-room-never-ages": (
         ORDER,
@@ -225,7 +225,7 @@
         "if error.errno != errno.EADDRINUSE or time.monotonic() > until_s:",
         "if True:",
     ),
-    "floor-counts-from-nought": ("ashtray/placement/minimum_share.py", "if job.ready_us < self._since_us or", "if"),
+    "floor-counts-from-nought": ("ashtray/placement/minimum_share.py", "job.ready_us < self._since_us", "False"),
     "floor-owes-all": ("ashtray/placement/minimum_share.py", "for job in found[: due[name]]]", "for job in found]"),
     "floor-is-stopped": (
         "ashtray/placement/minimum_share.py",
@@ -262,7 +262,7 @@
         "if not (yield from self.base.follower.barrier(patient=True)):",
         "if False:",
     ),
-    "accept-without-look": ("ashtray/jobs/accepting.py", ".guard(OVER + job.job_id, 0).put(", ".put("),
+    "accept-without-look": ("ashtray/jobs/accepting.py", ".guard(FINAL_STATE_PREFIX + job.job_id, 0).put(", ".put("),
     "stopped-holds-hide": (
         GROUP_INDEX,
         "self.allocations.setdefault(allocation.job, {})[(name, n)] = allocation",
@@ -285,7 +285,11 @@
         "return name not in self.listed",
     ),
     "all-late-given-up": ("ashtray/fleet/boot_times.py", "NOT_OVERTAKEN_FACTOR = 3.0", "NOT_OVERTAKEN_FACTOR = 1.0"),
-    "mistakes-condemn": (MACHINE_HEALTH, "return NO_BLAME if job.suspect else HALF_BLAME", "return HALF_BLAME"),
+    "mistakes-condemn": (
+        MACHINE_HEALTH,
+        "return NO_BLAME if job.fails_on_several_machines else HALF_BLAME",
+        "return HALF_BLAME",
+    ),
     "done-may-be-cancelled": (
         CANCELLING,
         "                txn.guard(key, cluster_state.groups[key].version)",
--- a/tests/mutants/transactions.py
+++ b/tests/mutants/transactions.py
@@ -6,8 +6,8 @@
 FOLDING, PROVISIONING = "ashtray/workers/folding.py", "ashtray/fleet/provisioning.py"
 
 MUTANTS: dict[str, tuple[str, str, str]] = {
-    "late-acceptance-of-what-is-over": (ACCEPTING, ".guard(OVER + job.job_id, 0).put(", ".put("),
-    "accepted-twice": (ACCEPTING, "txn.guard(LIVE + job.job_id, 0).guard(", "txn.guard("),
+    "late-acceptance-of-what-is-over": (ACCEPTING, ".guard(FINAL_STATE_PREFIX + job.job_id, 0).put(", ".put("),
+    "accepted-twice": (ACCEPTING, "txn.guard(LIVE_JOB_PREFIX + job.job_id, 0).guard(", "txn.guard("),
     "presence-gone-unseen": (
         "ashtray/peers/presence.py",
         "return read and self.base.settings.host_name not in self.base.cluster_state.controllers",
@@ -15,8 +15,8 @@
     ),
     "late-end-of-what-is-over": (
         FOLDING,
-        "return txn.guard(LIVE + job.id, job.version).remove(",
-        "return txn.remove(",
+        "txn.guard(LIVE_JOB_PREFIX + job.id, job.version)\n        .remove(",
+        "txn.remove(",
     ),
     "late-intent-replaces-a-newer-one": (
         PROVISIONING,
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -8,7 +8,7 @@
 from ashtray.config.operators import OperatorSettings
 from ashtray.fleet.boot_times import BootTimes
 from ashtray.fleet.machine_kind import MachineKind
-from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.kernel import Answer
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_health import SICK_BLAME
@@ -145,7 +145,7 @@
     cluster_state = ClusterState()
     for name, value in jobs.items():
         key = name.replace("_", "-")
-        cluster_state.put((OVER if "status" in value else LIVE) + key, value, 1)
+        cluster_state.put((FINAL_STATE_PREFIX if "status" in value else LIVE_JOB_PREFIX) + key, value, 1)
     failed = [name.replace("_", "-") for name in jobs]
     record = GroupRecord("small", "a", {"vm-1": MachineRecord("vm-1:1", failed=failed)})
     cluster_state.put(GROUP + "g", msgspec.to_builtins(record), 2)
@@ -172,8 +172,8 @@
 def test_a_job_that_fails_everywhere_backs_off_tries_one_task_and_goes_last():
     cluster_state = ClusterState()
     cluster_state.types = {"small": MachineType("small", 8.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a",))}
-    cluster_state.put(LIVE + "job-1", job(errors=4, failed_on=["vm-1", "vm-2"], error_us=0), 1)
-    cluster_state.put(LIVE + "job-2", job(), 2)
+    cluster_state.put(LIVE_JOB_PREFIX + "job-1", job(errors=4, failed_on=["vm-1", "vm-2"], error_us=0), 1)
+    cluster_state.put(LIVE_JOB_PREFIX + "job-2", job(), 2)
     plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
     bad = cluster_state.jobs["job-1"]
     assert plan.wanted(bad, 10 * SECOND) == [] and back_off_us(bad) > 10 * SECOND
@@ -260,7 +260,7 @@
     rng = random.Random(2)
     for n in range(200):
         spec = JobSpec("swarm", "crew", "array", 3, 1, rng.uniform(0.26, 0.49), 0.0, 0.8, "img", 1.0)
-        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
     plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
     placed = [plan.place(job, 1, 0.0) for job in queue(cluster_state, {})[0]]
     assert all(placed)
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_index import GroupIndex
 from ashtray.placement.machine_groups import Allocation, reuse_allocations
@@ -81,9 +81,9 @@
     cluster_state.put(GROUP + "g", group(failed=tuple(jobs)), 1)
     for job_id, state in jobs.items():
         if state in records:
-            cluster_state.put(LIVE + job_id, msgspec.to_builtins(records[state]), 2)
+            cluster_state.put(LIVE_JOB_PREFIX + job_id, msgspec.to_builtins(records[state]), 2)
         elif state != "unknown":
-            cluster_state.put(OVER + job_id, {"status": state, "done": 0, "at_us": 5}, 2)
+            cluster_state.put(FINAL_STATE_PREFIX + job_id, {"status": state, "done": 0, "at_us": 5}, 2)
     assert cluster_state.blame(cluster_state.machines["vm"]) == blame
 
 
@@ -105,5 +105,5 @@
     spec = msgspec.structs.replace(SPEC, kind=kind)
     cluster_state = ClusterState()
     record = JobRecord(spec, "h0", 5, attempt, portion=portion)
-    cluster_state.put(LIVE + "job-1", msgspec.to_builtins(record), 1)
+    cluster_state.put(LIVE_JOB_PREFIX + "job-1", msgspec.to_builtins(record), 1)
     assert unplaced_tasks(cluster_state.jobs["job-1"], placed, finished) == unplaced
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -9,7 +9,7 @@
 
 from ashtray.config.settings import Objective
 from ashtray.jobs.job_timing import JobTiming
-from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.minimum_share import SHARE, MinimumShare
@@ -60,7 +60,7 @@
             estimate_us=RUN_S * SECOND_US,
         )
         record = JobRecord(spec, "berth-0", self.now_us)
-        self.put(f"{LIVE}job-{name}", msgspec.structs.replace(record, **over))
+        self.put(f"{LIVE_JOB_PREFIX}job-{name}", msgspec.structs.replace(record, **over))
 
     def place(self, name: str) -> None:
         job = self.cluster_state.jobs[f"job-{name}"]
@@ -69,8 +69,10 @@
 
     def end(self, name: str, status: str = "done") -> None:
         self.version += 1
-        self.cluster_state.put(f"{OVER}job-{name}", {"status": status, "done": 0, "at_us": self.now_us}, self.version)
-        self.cluster_state.remove(f"{LIVE}job-{name}", self.version)
+        self.cluster_state.put(
+            f"{FINAL_STATE_PREFIX}job-{name}", {"status": status, "done": 0, "at_us": self.now_us}, self.version
+        )
+        self.cluster_state.remove(f"{LIVE_JOB_PREFIX}job-{name}", self.version)
 
     def wait(self, seconds: float) -> None:
         self.now_us += int(seconds * SECOND_US)
@@ -167,7 +169,8 @@
     day = overloaded_day(10, 0)
     assert day.minimum_share.due(day.now_us)
     keys = {
-        f"{LIVE}{job.id}": (msgspec.to_builtins(job.record), job.version) for job in day.cluster_state.jobs.values()
+        f"{LIVE_JOB_PREFIX}{job.id}": (msgspec.to_builtins(job.record), job.version)
+        for job in day.cluster_state.jobs.values()
     }
     day.cluster_state.clear()
     for key, (value, version) in keys.items():
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ashtray.config.settings import Team
-from ashtray.jobs.model import LIVE, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.records import AllocationRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP, TEAM
@@ -299,7 +299,7 @@
     _, (host, *_) = settled()
     small = msgspec.structs.replace(SPEC, cpus=1.5)
     for n, (spec, owner) in enumerate([(SPEC, "h0"), (small, "h0"), (small, "h1"), (GANG, "h1"), (SPEC, "h1")]):
-        host.cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, owner, n)), n + 1)
+        host.cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(JobRecord(spec, owner, n)), n + 1)
     queue = [host.cluster_state.jobs[f"job-{n}"] for n in range(5)]
     wants = host.grants.demands("crew", queue, lambda job: job.record.owner, HOSTS)
     assert [wants[name].smallest_task for name in HOSTS] == [(1.5, 0.0), (0.0, 0.0), (0.0, 0.0)]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from ashtray.config.operators import OperatorSettings
-from ashtray.jobs.model import LIVE, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.placement import compact_record
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.machine_groups import Machine
@@ -332,7 +332,7 @@
     for version in range(1, 25):
         kind = draw.random()
         if kind < 0.25:
-            key = f"{LIVE}job-{draw.randrange(4)}"
+            key = f"{LIVE_JOB_PREFIX}job-{draw.randrange(4)}"
             record = JobRecord(TEAM_JOB, "berth-0", 5, draw.choice([0, 1, 2]), "", draw.choice([0, 0, 1]))
             value = None if draw.random() < 0.2 else msgspec.to_builtins(record)
         else:
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -12,7 +12,7 @@
 
 from ashtray.config.operators import OperatorSettings
 from ashtray.config.settings import Team
-from ashtray.jobs.model import LIVE, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import Plan, queue
 from ashtray.placement.preemption import PreemptionRules, choose_victims, stop_for
@@ -95,13 +95,13 @@
     each = -(-5 // machines)
     holds = {f"vm-{n}": [hold("job-1", set(range(n * each, min((n + 1) * each, 5))), "b")] for n in range(machines)}
     world = World(holds, float(each))
-    world.put({LIVE + "job-1": job_record("b", 8)})
+    world.put({LIVE_JOB_PREFIX + "job-1": job_record("b", 8)})
     return world
 
 
 def test_a_team_is_not_taken_below_its_guarantee() -> None:
     world = team_beyond_guarantee()
-    world.put({LIVE + "job-2": job_record("a", 5)})
+    world.put({LIVE_JOB_PREFIX + "job-2": job_record("a", 5)})
     cluster_state = world.cluster_state()
     assert world.stopping(cluster_state, "job-2", 5) is None
     txn = world.stopping(cluster_state, "job-2", 1)
@@ -114,7 +114,12 @@
 def test_two_controllers_that_decide_at_once_do_not_stop_the_same_excess() -> None:
     world = team_beyond_guarantee(machines=5)
     # The victims are on different machines, so nothing but the claim conflicts.
-    world.put({LIVE + "job-2": job_record("a", 1, zone="y"), LIVE + "job-3": job_record("a", 1, zone="z")})
+    world.put(
+        {
+            LIVE_JOB_PREFIX + "job-2": job_record("a", 1, zone="y"),
+            LIVE_JOB_PREFIX + "job-3": job_record("a", 1, zone="z"),
+        }
+    )
     cluster_states = world.cluster_state(), world.cluster_state()
     first = world.stopping(cluster_states[0], "job-2", 1, "berth-0")
     second = world.stopping(cluster_states[1], "job-3", 1, "berth-1")
@@ -126,7 +131,7 @@
 
 def test_a_task_that_ended_after_the_plan_lowers_the_excess_at_the_commit() -> None:
     world = team_beyond_guarantee()
-    world.put({LIVE + "job-2": job_record("a", 1)})
+    world.put({LIVE_JOB_PREFIX + "job-2": job_record("a", 1)})
     cluster_state = world.cluster_state()
     _, inside = queue(cluster_state, TEAMS)
     plan = Plan(cluster_state, TEAMS, OperatorSettings(), random.Random(1), LIMITS)
@@ -141,14 +146,14 @@
 
 def test_stopping_a_lower_priority_needs_no_claim() -> None:
     world = team_beyond_guarantee()
-    world.put({LIVE + "job-2": job_record("c", 5, priority=1)})
+    world.put({LIVE_JOB_PREFIX + "job-2": job_record("c", 5, priority=1)})
     txn = world.stopping(world.cluster_state(), "job-2", 5)
     assert txn is not None and not any(key.startswith(CLAIM) for key in txn.puts)
 
 
 def test_all_tasks_of_a_team_without_a_guarantee_may_be_stopped() -> None:
     world = World({"vm-0": [hold("job-1", {0, 1, 2}, "c")]}, 3.0)
-    world.put({LIVE + "job-1": job_record("c", 3), LIVE + "job-2": job_record("a", 3)})
+    world.put({LIVE_JOB_PREFIX + "job-1": job_record("c", 3), LIVE_JOB_PREFIX + "job-2": job_record("a", 3)})
     txn = world.stopping(world.cluster_state(), "job-2", 3)
     assert txn is not None and world.apply(txn)
     assert stopped(world.cluster_state(), "c") == 3.0
@@ -186,7 +191,7 @@
     values: dict[str, Any] = {}
     for n, (team, tasks, cpus) in enumerate(uses):
         holds[f"vm-{n}"] = [hold(f"job-{n}", set(range(tasks)), team, float(cpus))]
-        values[LIVE + f"job-{n}"] = job_record(team, tasks + 3, float(cpus), at_us=n)
+        values[LIVE_JOB_PREFIX + f"job-{n}"] = job_record(team, tasks + 3, float(cpus), at_us=n)
     world = World(holds, 8.0)
     world.put(values)
     before = Excess(world.cluster_state(), TEAMS)
@@ -195,11 +200,11 @@
     for n, (team, tasks, fresh) in enumerate(asks):
         name = f"job-{100 + n}"
         record = job_record(team, tasks, 1.0, at_us=100 + n, zone=rng.choice([None, *ZONES]))
-        world.put({LIVE + name: record})
+        world.put({LIVE_JOB_PREFIX + name: record})
         if fresh:
             cluster_states.append(world.cluster_state())
         cluster_state = rng.choice(cluster_states)
-        cluster_state.put(LIVE + name, record, world.state.revision)
+        cluster_state.put(LIVE_JOB_PREFIX + name, record, world.state.revision)
         txn = world.stopping(cluster_state, name, tasks, f"berth-{n}")
         if txn is not None:
             late.append(txn)
@@ -219,8 +224,15 @@
     holds = {f"vm-{n:04}": [hold(f"job-{n % 2}", {n}, "b", 4.0)] for n in range(machines)}
     holds["vm-0007"] = [hold("job-9", {0, 1}, "b", 2.0)]
     world = World(holds, 4.0)
-    world.put({LIVE + "job-0": job_record("b", machines, 4.0, 1), LIVE + "job-1": job_record("b", machines, 4.0, 1)})
-    world.put({LIVE + "job-9": job_record("b", 2, 2.0, 3), LIVE + "job-2": job_record("c", 1, 2.0, 2)})
+    world.put(
+        {
+            LIVE_JOB_PREFIX + "job-0": job_record("b", machines, 4.0, 1),
+            LIVE_JOB_PREFIX + "job-1": job_record("b", machines, 4.0, 1),
+        }
+    )
+    world.put(
+        {LIVE_JOB_PREFIX + "job-9": job_record("b", 2, 2.0, 3), LIVE_JOB_PREFIX + "job-2": job_record("c", 1, 2.0, 2)}
+    )
     cluster_state = world.cluster_state()
     asked: list[str] = []
     allowed = PreemptionRules.allowed
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.jobs.states import JobStates
 from ashtray.kernel import SECOND_US, Sleep
 from ashtray.placement.cluster_state import ClusterState
@@ -28,7 +28,7 @@
     """Safety point 9: the plan was made when the job had no task; now the cluster state has one in zone a."""
     cluster_state = ClusterState()
     spec = JobSpec("any", "free", "array", 2, 2, 1.0, 0.0, 1.0, "img", 1.0, same_zone=True)
-    cluster_state.put(LIVE + "job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, attempt=1)), 3)
+    cluster_state.put(LIVE_JOB_PREFIX + "job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, attempt=1)), 3)
     allocation = AllocationRecord("job-1", 1, "0", "free", 1.0, 0.0, 1.0, 0)
     for where in ("a", "b"):
         holds = [allocation] if where == "a" else []
@@ -82,7 +82,7 @@
     model.run(3)
     monkeypatch.setattr(model, "_poll", lambda job_id: None)
     model.submit(submission("job-0", pieces=1))
-    while OVER + "job-0" not in model.state.keys:
+    while FINAL_STATE_PREFIX + "job-0" not in model.state.keys:
         model.run(1)
         assert model.now < 120 * SECOND_US
     # No machine of its type can be rented, so the job is accepted and its user told, but it is not placed.
@@ -90,7 +90,7 @@
     model.submit(submission("job-1", pieces=1, waits_on=["job-0"], hulls=["big"]))
     model.run(3)
     # The case is reached: nobody repeats the submission, and after the restart no controller knows the needed job.
-    assert model.jobs["job-1"].accepted_us is not None and LIVE + "job-1" in model.state.keys
+    assert model.jobs["job-1"].accepted_us is not None and LIVE_JOB_PREFIX + "job-1" in model.state.keys
     model.cloud.capacity = 40
     restart_all(model)
     model.run(30)
@@ -114,7 +114,7 @@
     restart_all(model)
     # The case is reached: the record of the dependent job was not moved, and no controller has read that the job it
     # needs was cancelled.
-    assert LIVE + "job-1" in model.state.keys
+    assert LIVE_JOB_PREFIX + "job-1" in model.state.keys
     status, body = ask(model, submission("job-1"), 1)
     assert (status, body["status"]) == (200, "cancelled")
 
@@ -129,7 +129,7 @@
 
 
 def test_a_version_is_not_kept_of_a_record_that_is_gone() -> None:
-    cluster_state, key = ClusterState(), LIVE + "job-1"
+    cluster_state, key = ClusterState(), LIVE_JOB_PREFIX + "job-1"
     spec = JobSpec("any", "free", "array", 2, 2, 1.0, 0.0, 1.0, "img", 1.0)
     cluster_state.put(key, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3)
     assert cluster_state.version(key) == 3
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ashtray.config.operators import OperatorSettings
-from ashtray.jobs.model import LIVE, Job, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, Job, JobRecord, JobSpec
 from ashtray.kernel import Kernel
 from ashtray.placement import compact_record
 from ashtray.placement.cluster_state import ClusterState
@@ -88,7 +88,7 @@
     key = GROUP + "small.a.vm-000000"
     model.state.keys[key] = (group, 5, None)
     for job, value in jobs.items():
-        model.state.keys[LIVE + job] = (value, 4, None)
+        model.state.keys[LIVE_JOB_PREFIX + job] = (value, 4, None)
     model.state.revision = 6
     if crash is not None:
         # The controller that splits the group may crash in the middle; another one continues.
@@ -115,7 +115,7 @@
     group, jobs = full_group(10, 2)
     cluster_state = ClusterState()
     for job, value in jobs.items():
-        cluster_state.put(LIVE + job, value, 3)
+        cluster_state.put(LIVE_JOB_PREFIX + job, value, 3)
     cluster_state.put(GROUP + "g", group, 5)
     usage = cluster_state.team_usage("free")
     part = {**group, "machines": {n: m for n, m in group["machines"].items() if n <= "vm-000003"}, "done": {}}
@@ -139,10 +139,10 @@
     spec = JobSpec("any", "crew", "array", 2, tasks, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job("job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3, limit)
     done = {n for n in finished if n < tasks}
-    value = job.value(finished=done, attempt=10**6, failed_on=[f"vm-{n:06}" for n in range(6)])
+    value = job.updated_record(finished=done, attempt=10**6, failed_on=[f"vm-{n:06}" for n in range(6)])
     assert len(msgspec.json.encode(value)) <= limit
     assert decode_runs(value.get("finished", "")) <= done
-    assert 0 < job.most_open <= max(tasks, 1)
+    assert 0 < job.max_open_tasks <= max(tasks, 1)
 
 
 def test_folds_never_grow_a_record_over_its_limit():
@@ -152,7 +152,7 @@
     holds = []
     for n in range(14):
         spec = JobSpec("any", "crew", "array", 2, 400, 1.0, 0.0, 1.0, "img", 1.0)
-        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, 1)), 3)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0, 1)), 3)
         holds.append(AllocationRecord(f"job-{n}", 1, f"{100 + n}-{139 + n}", "crew", 1.0, 0.0, 1.0, 0, by="berth-0"))
     names = ["vm-0", "vm-1"]
     record = GroupRecord(
@@ -201,7 +201,7 @@
     cluster_state.put(GROUP + "0", compact_record.pack(msgspec.to_builtins(record)), 5)
     for n in range(96):
         spec = JobSpec("any", "crew", "array", 2, 1, 1.0, 0.0, 1.0, f"img-{n % 3}", 1.0)
-        cluster_state.put(f"{LIVE}job-{n:06}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 6)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n:06}", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 6)
     plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), limits)
     machine = record.machines["vm-0"]
     for job in cluster_state.jobs.values():
@@ -255,6 +255,6 @@
 def test_a_record_too_small_for_all_runs_keeps_the_longest():
     spec = JobSpec("any", "crew", "array", 2, 90_000, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job("job-1", msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), 3, 1900)
-    value = job.value(finished=set(range(50_000)) | set(range(50_001, 60_000, 2)))
+    value = job.updated_record(finished=set(range(50_000)) | set(range(50_001, 60_000, 2)))
     assert len(msgspec.json.encode(value)) <= 1900
     assert set(range(50_000)) <= decode_runs(value["finished"])
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -15,7 +15,7 @@
 
 from ashtray.config.operators import OperatorSettings
 from ashtray.controller import Controller
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Call, Reply
 from ashtray.placement.state_keys import TYPES
 from ashtray.store.client import Txn, Urgency
@@ -193,7 +193,7 @@
 def test_a_submission_repeated_once_the_job_is_over_is_told_its_final_state(controller):
     def state_with_job_done():
         state = world()
-        put(state, OVER + "job-1", {"status": "done", "done": 1, "at_us": 1})
+        put(state, FINAL_STATE_PREFIX + "job-1", {"status": "done", "done": 1, "at_us": 1})
         return state
 
     found = explore(schedules_of(state_with_job_done, 2, [submit_at(controller), cancel_at(0)]))
@@ -259,7 +259,7 @@
 
 def test_a_final_state_looked_for_while_everything_is_read_anew_is_not_noted_as_absent():
     play = Play(forgetful_world(), 2, [], Chooser([]))
-    put(play.state, LIVE + "job-1", job_record("job-1", pieces=1))
+    put(play.state, LIVE_JOB_PREFIX + "job-1", job_record("job-1", pieces=1))
     node = play.nodes[0]
     lack_changes(play)
     play.ask("poll", 0, "GET", "/submissions/job-2", job_id="job-2")
@@ -270,8 +270,8 @@
     node.core.kernel.spawn(node.core.jobs.states._read_final("job-1", Urgency.PLACE))
     play._carry_out(node, node.core.kernel.run())
     play._arrive(next(message for message in play.pending if message.call.path.endswith("job-1")))
-    over = {"put": OVER + "job-1", "value": {"status": "done", "done": 1, "at_us": 1}}
-    play.state.handle(0, "POST", "/txn", {"apply": [{"remove": LIVE + "job-1"}, over]})
+    over = {"put": FINAL_STATE_PREFIX + "job-1", "value": {"status": "done", "done": 1, "at_us": 1}}
+    play.state.handle(0, "POST", "/txn", {"apply": [{"remove": LIVE_JOB_PREFIX + "job-1"}, over]})
     settle(play)
     play.ask("poll", 0, "GET", "/submissions/job-1")
     settle(play)
@@ -280,9 +280,9 @@
 
 def test_the_search_sees_an_answer_that_goes_back():
     def delete_record(play: Play) -> None:
-        value, version, lease = play.state.keys.pop(LIVE + "job-1")
+        value, version, lease = play.state.keys.pop(LIVE_JOB_PREFIX + "job-1")
         play.state.revision += 1
-        play.state.log.append((play.state.revision, LIVE + "job-1", None))
+        play.state.log.append((play.state.revision, LIVE_JOB_PREFIX + "job-1", None))
 
     actions = [submit_at(0), Action("forget", 0, delete_record, told("pending")), poll_at(1, told("pending"))]
     with pytest.raises(WentBack, match="pending and then unknown"):
--- a/tests/test_meetings_close_looks.py
+++ b/tests/test_meetings_close_looks.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Call, Reply
 from ashtray.store.client import Urgency
 from tests.answer_history import FINAL, UNKNOWN, Heard, WentBack
@@ -138,7 +138,9 @@
         """Return whether a transaction accepts or ends a job."""
         new = {guard["k"] for guard in body["guards"] if guard["stamp"] == 0}
         puts = [change["put"] for change in body["apply"] if "put" in change]
-        return any(key.startswith(OVER) or (key.startswith(LIVE) and key in new) for key in puts)
+        return any(
+            key.startswith(FINAL_STATE_PREFIX) or (key.startswith(LIVE_JOB_PREFIX) and key in new) for key in puts
+        )
 
     def maybe_begin_fault(self, number: int, moment: Moment) -> None:
         """Sometimes begin a fault: at the controller that decides or answers, or at a random one."""
@@ -423,7 +425,7 @@
 
 def test_a_final_state_that_was_absent_before_everything_is_read_anew_is_looked_for_again():
     play = Play(forgetful(world)(), 2, [], Chooser([]))
-    put(play.state, LIVE + "job-1", job_record("job-1", pieces=1))
+    put(play.state, LIVE_JOB_PREFIX + "job-1", job_record("job-1", pieces=1))
     node = play.nodes[0]
     # The controller looks up the final state of job-1, as it does for a job that another one waits for.  The job is
     # live, so there is none.
@@ -437,8 +439,8 @@
     play._arrive(play.pending[1])
     assert not node.core.follower.loaded
     # The job ends before the first page is read, so neither the pages nor the changes after them contain its end.
-    over = {"put": OVER + "job-1", "value": {"status": "done", "done": 1, "at_us": 1}}
-    play.state.handle(0, "POST", "/txn", {"apply": [{"remove": LIVE + "job-1"}, over]})
+    over = {"put": FINAL_STATE_PREFIX + "job-1", "value": {"status": "done", "done": 1, "at_us": 1}}
+    play.state.handle(0, "POST", "/txn", {"apply": [{"remove": LIVE_JOB_PREFIX + "job-1"}, over]})
     play._arrive(read)
     settle(play)
     assert node.core.follower.loaded
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from ashtray.config.settings import WorkerTimes
-from ashtray.jobs.cancellations import MOST_ENTRIES, CancellationLog
+from ashtray.jobs.cancellations import MAX_ENTRIES, CancellationLog
 from ashtray.kernel import Reply
 from ashtray.peers.announcements import PATH
 from ashtray.workers.renewal import CLOCK_DRIFT, WORKER_DELAY_US, RenewalGuard, renewal_bound_us
@@ -385,7 +385,7 @@
     assert not log.statement(13, 12).complete
     assert not log.statement(None, 12).complete
     assert not log.statement(10, None).complete
-    for n in range(MOST_ENTRIES):
+    for n in range(MAX_ENTRIES):
         log.note(30 + n, f"job-{n}")
     # The log has dropped its oldest entries, so that a statement that begins before them is not complete.
     assert not log.statement(10, 12).complete
--- a/tests/test_meetings_handovers.py
+++ b/tests/test_meetings_handovers.py
@@ -19,7 +19,7 @@
 """How a controller's work changes hands (see `Meeting.change`)."""
 AWAY_S = 25.0
 """How long a controller is down or refused after its work has changed hands."""
-MOST_HOP_US = 4_000
+MAX_HOP_US = 4_000
 """The longest time that a message takes in the model where nothing holds it up."""
 
 
@@ -132,7 +132,7 @@
     assert all_told(model, ids)
     assert max(model.gone_s(job_id) for job_id in ids) <= CANCEL_S
     # A start that was sent before the cancellation was committed may still be on its way when the user is told.
-    assert all(start.after_us <= MOST_HOP_US for start in model.late_starts)
+    assert all(start.after_us <= MAX_HOP_US for start in model.late_starts)
     model.run(AWAY_S)
     assert not model.on
 
--- a/tests/test_meetings_late_writes.py
+++ b/tests/test_meetings_late_writes.py
@@ -17,7 +17,7 @@
 import pytest
 
 from ashtray.config.operators import OperatorSettings
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Reply
 from ashtray.placement import compact_record
 from ashtray.placement.records import MachineRecord
@@ -327,8 +327,8 @@
         for key in changed:
             if key.startswith(CONTROLLER):
                 assert sent.purpose == "sign in"
-            elif key.startswith(OVER):
-                assert guards.get(LIVE + key.removeprefix(OVER), 0), sent
+            elif key.startswith(FINAL_STATE_PREFIX):
+                assert guards.get(LIVE_JOB_PREFIX + key.removeprefix(FINAL_STATE_PREFIX), 0), sent
             else:
                 assert key in guards, sent
                 assert guards[key] or protected_while_absent(key, guards, sent.body["apply"]), sent
@@ -336,8 +336,8 @@
 
 def protected_while_absent(key: str, guards: dict[str, int], apply: list[Any]) -> bool:
     """Return whether a guard other than its absence keeps a key from being written again after its removal."""
-    if key.startswith(LIVE):
-        return guards.get(OVER + key.removeprefix(LIVE)) == 0
+    if key.startswith(LIVE_JOB_PREFIX):
+        return guards.get(FINAL_STATE_PREFIX + key.removeprefix(LIVE_JOB_PREFIX)) == 0
     if key.startswith(GROUP):
         other_keys = [other for other in guards if other != key and other.startswith((ADOPTED, GROUP))]
         return any(other in [change.get("put") for change in apply] for other in other_keys)
@@ -379,7 +379,10 @@
 
     def _execute(self, message: Message) -> None:
         super()._execute(message)
-        is_live, is_over = LIVE + SEARCHED_JOB in self.state.keys, OVER + SEARCHED_JOB in self.state.keys
+        is_live, is_over = (
+            LIVE_JOB_PREFIX + SEARCHED_JOB in self.state.keys,
+            FINAL_STATE_PREFIX + SEARCHED_JOB in self.state.keys,
+        )
         assert not (is_live and is_over), "a job that is over is live again"
 
     def _mark(self) -> Any:
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -16,11 +16,11 @@
 import pytest
 
 from ashtray.estimates.learned import MAX_JOBS, MAX_LEVELS, MAX_MEDIANS
-from ashtray.jobs.cancellations import MOST_ENTRIES
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.cancellations import MAX_ENTRIES
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Coroutine, Kernel, Reply, Signal, Wait
 from ashtray.placement.cluster_state import MAX_FINAL_STATES
-from ashtray.placement.minimum_share import MAX_SERVED as MOST_SERVED
+from ashtray.placement.minimum_share import MAX_SERVED
 from ashtray.placement.records import AMOUNT_TOLERANCE
 from ashtray.placement.state_keys import GROUP
 from tests import model as model_module
@@ -75,11 +75,13 @@
     """Return the purpose of a write to the state service."""
     key = change.get("put") or change["remove"]
     stamps = {guard["k"]: guard["stamp"] for guard in body["guards"]}
-    if key.startswith(OVER):
+    if key.startswith(FINAL_STATE_PREFIX):
         return "cancel" if change["value"]["status"] == "cancelled" else "end"
-    if key.startswith(LIVE):
+    if key.startswith(LIVE_JOB_PREFIX):
         if "remove" in change:
-            over = next(c["value"] for c in body["apply"] if c.get("put") == OVER + key[len(LIVE) :])
+            over = next(
+                c["value"] for c in body["apply"] if c.get("put") == FINAL_STATE_PREFIX + key[len(LIVE_JOB_PREFIX) :]
+            )
             return "cancel" if over["status"] == "cancelled" else "end"
         return "accept" if stamps[key] == 0 else "place"
     if key.startswith(GROUP):
@@ -175,10 +177,10 @@
 
 MAX_HISTORY_ENTRIES = {
     "ClusterState.final_states": MAX_FINAL_STATES,
-    "MinimumShare._served": MOST_SERVED,
+    "MinimumShare._served": MAX_SERVED,
     "Estimates._medians": MAX_MEDIANS,
     "Estimates._jobs": MAX_JOBS,
-    "CancellationLog._entries": MOST_ENTRIES,
+    "CancellationLog._entries": MAX_ENTRIES,
     # One entry for each value of each cached distribution.
     "ResidualDistribution._edges": MAX_LEVELS * 100,
     "ResidualDistribution._below": MAX_LEVELS * 100,
@@ -276,7 +278,7 @@
     refused: int
     told_late: int
     jobs_asked: int
-    most_waiting: int
+    max_waiting: int
 
     def line(self) -> str:
         each = [f"{self.by_purpose[name] / self.jobs:9.2f}" for name in PURPOSES]
@@ -284,7 +286,7 @@
         told = f"{self.told_late} of {self.jobs_asked}"
         return (
             f"{self.rate:6.0f} {total / self.seconds:10.1f} {total / self.jobs:10.2f} {''.join(each)}"
-            f" {self.refused:8} {told:>12} {self.most_waiting:8}"
+            f" {self.refused:8} {told:>12} {self.max_waiting:8}"
         )
 
 
--- a/tests/test_meetings_lost_answers.py
+++ b/tests/test_meetings_lost_answers.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ashtray.config.operators import OperatorSettings
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Reply
 from tests.meeting_model import some
 from tests.model import SECOND, Model, UserJob, submission
@@ -143,7 +143,7 @@
 # Several jobs in one transaction
 
 
-def jobs_in(transaction: Transaction, prefix: str = LIVE) -> set[str]:
+def jobs_in(transaction: Transaction, prefix: str = LIVE_JOB_PREFIX) -> set[str]:
     """Return the jobs whose records a transaction writes."""
     return {put.removeprefix(prefix) for put in transaction.puts if put.startswith(prefix)}
 
@@ -154,7 +154,7 @@
 )
 
 
-def job_writes(purpose: str, min_jobs: int, prefix: str = LIVE) -> Kind:
+def job_writes(purpose: str, min_jobs: int, prefix: str = LIVE_JOB_PREFIX) -> Kind:
     """Return the kind of the transactions of a purpose that write the records of at least so many jobs."""
     return Kind(purpose, also=lambda transaction: len(jobs_in(transaction, prefix)) >= min_jobs)
 
@@ -189,7 +189,7 @@
     while not lost_answers.troubles.meetings:
         model.run(0.001)
     members = jobs_in(lost_answers.troubles.meetings[0].transaction)
-    accepted_us = {job_id: model.state.keys[LIVE + job_id][0]["accepted_us"] for job_id in members}
+    accepted_us = {job_id: model.state.keys[LIVE_JOB_PREFIX + job_id][0]["accepted_us"] for job_id in members}
     model.run(after_ms / 1000)
     retries = {job_id: ask_all_controllers(model, "POST", job_id) for job_id in members}
     model.run(6)
@@ -201,7 +201,7 @@
         assert [reply.status for reply in first_replies[job_id]] == [503]
         assert {reply.status for reply in retries[job_id]} <= {200, 503}
         assert 200 in {reply.status for reply in retries[job_id]}
-        assert model.state.keys[LIVE + job_id][0]["accepted_us"] == accepted_us[job_id]
+        assert model.state.keys[LIVE_JOB_PREFIX + job_id][0]["accepted_us"] == accepted_us[job_id]
     for job_id, replies in poll_replies.items():
         assert [reply.status for reply in replies] == [200] * hosts, job_id
     others = jobs.keys() - members
@@ -229,7 +229,7 @@
     assert {job_id: model.job_starts[job_id] for job_id in members} == dict.fromkeys(members, 2)
     # No job was placed a second time.
     last_values = {key: value[0] for _, key, value in model.state.log if value is not None}
-    assert {last_values[LIVE + job_id]["attempt"] for job_id in members} == {1}
+    assert {last_values[LIVE_JOB_PREFIX + job_id]["attempt"] for job_id in members} == {1}
 
 
 @pytest.mark.parametrize(("hosts", "then"), SENDER_CASES)
@@ -240,13 +240,13 @@
     model._run_us = lambda key: 6 * SECOND  # type: ignore[method-assign]
     model.submit(submission("job-99", pieces=16, cpus=1.0, **FREE))
     model.run(20)
-    lost_answers = LostAnswers(model, job_writes("tidy", 2, OVER), then)
+    lost_answers = LostAnswers(model, job_writes("tidy", 2, FINAL_STATE_PREFIX), then)
     for n in range(8):
         submit_to(model, 0, submission(f"job-{n}", pieces=2, cpus=1.0, **FREE))
     while not lost_answers.troubles.meetings and model.now < 120 * SECOND:
         model.run(0.01)
-    members = jobs_in(lost_answers.troubles.meetings[0].transaction, OVER)
-    ended = {job_id: model.state.keys[OVER + job_id] for job_id in members}
+    members = jobs_in(lost_answers.troubles.meetings[0].transaction, FINAL_STATE_PREFIX)
+    ended = {job_id: model.state.keys[FINAL_STATE_PREFIX + job_id] for job_id in members}
     rounds = []
     for pause_s in (0.002, 0.3, 1.0, 3.0):
         model.run(pause_s)
@@ -258,6 +258,6 @@
     assert len(statuses) > 3 * len(members)
     assert set(statuses) == {"done"}
     # The end of each job was written once, by any controller.
-    assert {job_id: model.state.keys[OVER + job_id] for job_id in members} == ended
+    assert {job_id: model.state.keys[FINAL_STATE_PREFIX + job_id] for job_id in members} == ended
     settle(model, 60)
     check_nothing_is_left(model)
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -16,7 +16,7 @@
 import pytest
 
 from ashtray.config.operators import OperatorSettings
-from ashtray.jobs.model import LIVE, Job, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, Job, JobRecord, JobSpec
 from ashtray.kernel import Call, Reply
 from ashtray.placement import compact_record
 from ashtray.placement.cluster_state import ClusterState
@@ -226,7 +226,7 @@
 
 
 def places(body: dict[str, Any]) -> bool:
-    return writes_group(body) and any(change.get("put", "").startswith(LIVE) for change in body["apply"])
+    return writes_group(body) and any(change.get("put", "").startswith(LIVE_JOB_PREFIX) for change in body["apply"])
 
 
 # Machines that boot within two seconds and get tasks at once, while writes are late and the leader crashes (row 6)
@@ -784,7 +784,7 @@
     urgent = JobSpec("any", "free", "gang", 1, gang.pop("tasks"), 4.0, 0.0, 1.0, "img", 1.0, **gang)
     idle = JobSpec("any", "free", "array", 3, 20, 4.0, 0.0, 1.0, "img", 1.0)
     for version, (job_id, spec) in enumerate({"job-1": urgent, "job-2": idle}.items(), 1):
-        cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
+        cluster_state.put(LIVE_JOB_PREFIX + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
     task = 0
     for version, (zone, number) in enumerate(machines.items(), 3):
         records = {}
@@ -917,7 +917,7 @@
     cluster_state.types = {"small": MachineType("small", 4.0, 0.0, 16.0, 20.0, 1.0, 1.0, 0.4, 5, ("a", "b"))}
     spec = JobSpec("any", "free", "array", 2, 3, 4.0, 0.0, 1.0, "img", 1.0, same_zone=True)
     for version, job_id in enumerate(("job-1", "job-2"), 1):
-        cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
+        cluster_state.put(LIVE_JOB_PREFIX + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", version)), version)
     allocation = AllocationRecord("job-1", 1, "0", "free", 4.0, 0.0, 1.0, 0)
     full = {"vm-a0": MachineRecord("x:1", holds=[allocation])}
     cluster_state.put(GROUP + "a", msgspec.to_builtins(GroupRecord("small", "a", full)), 3)
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -25,7 +25,7 @@
 from ashtray.estimates.estimate_store import unpack
 from ashtray.estimates.model import WEIGHT, new_row
 from ashtray.fleet.messages import parse_types
-from ashtray.jobs.model import LIVE, OVER
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX
 from ashtray.kernel import Answer, Call, Output, Reply, Send
 from ashtray.placement import compact_record
 from ashtray.placement.records import MachineRecord
@@ -354,7 +354,7 @@
     """Run until all jobs have ended, at most so many seconds, and until their records are removed."""
     for _ in range(seconds // 5):
         model.run(5)
-        if not any(key.startswith(LIVE) for key in model.state.keys):
+        if not any(key.startswith(LIVE_JOB_PREFIX) for key in model.state.keys):
             break
     finish(model, 10)
 
@@ -374,7 +374,7 @@
     assert len(state.leases) == len(alive)
     present = {key for key in state.keys if key.startswith(CONTROLLER)}
     assert present == {f"{CONTROLLER}berth-{host.number}" for host in alive}
-    assert not [key for key in state.keys if key.startswith((LIVE, SPLIT))]
+    assert not [key for key in state.keys if key.startswith((LIVE_JOB_PREFIX, SPLIT))]
     groups = [compact_record.unpack(value) for key, (value, _, _) in state.keys.items() if key.startswith(GROUP)]
     assert not [
         hold for group in groups for machine in group["machines"].values() for hold in machine.get("holds", ())
@@ -426,7 +426,7 @@
     key = GROUP + "small.a.vm-000000"
     model.state.keys[key] = (group, 5, None)
     for job, value in jobs.items():
-        model.state.keys[LIVE + job] = (value, 4, None)
+        model.state.keys[LIVE_JOB_PREFIX + job] = (value, 4, None)
     model.state.revision = 6
     troubles = Troubles(model, KINDS["split"], fate, sender, skip)
     model.run(30)
@@ -650,10 +650,10 @@
                 self._deliver(controller, self.controllers[1 - number])
             else:
                 self._commit(controller, what)
-        live, over = LIVE + JOB in self.state.keys, OVER + JOB in self.state.keys
+        live, over = LIVE_JOB_PREFIX + JOB in self.state.keys, FINAL_STATE_PREFIX + JOB in self.state.keys
         assert not (live and over), "a job that is over is live again"
         if self.cancelled_at is not None:
-            assert over and self.state.keys[OVER + JOB][0]["status"] == "cancelled"
+            assert over and self.state.keys[FINAL_STATE_PREFIX + JOB][0]["status"] == "cancelled"
 
     def _ask(self, choice: str, what: str, controller: SearchedController) -> None:
         request = 100 + len(self.asked)
@@ -836,11 +836,11 @@
     else:
         # One of the two writes the job first; the other one finds it, or has the user ask again.
         assert statuses.count(201) == 1 and set(statuses) <= {201, 200, 503}
-    accepted_us = model.state.keys[LIVE + "job-7"][0]["accepted_us"]
+    accepted_us = model.state.keys[LIVE_JOB_PREFIX + "job-7"][0]["accepted_us"]
     model.run(15)
     troubles.check()
     assert troubles.meetings[0].status == (200 if fate is Fate.AT_ONCE else 409)
-    assert model.state.keys[LIVE + "job-7"][0]["accepted_us"] == accepted_us
+    assert model.state.keys[LIVE_JOB_PREFIX + "job-7"][0]["accepted_us"] == accepted_us
 
 
 @pytest.mark.parametrize("fate", Fate)
@@ -924,7 +924,7 @@
     model = Model(seed, 3, OperatorSettings(group_size=2))
     model.checks()
     model.run(3)
-    # With more than `MOST_LATER` tasks a job is done only once its own record says so, not by its group records.
+    # With more than `MAX_DEFERRED_TASKS` tasks a job is done only once its own record says so, not by group records.
     model.submit(submission("job-1", pieces=18, cpus=1.0, **FREE))
     model.submit(submission("job-2", pieces=2, **FREE))
     while {job for job, _ in model.on} != {"job-1", "job-2"}:
@@ -939,7 +939,7 @@
     model.run(25)
     troubles.check()
     assert [unanswered.status for unanswered in troubles.meetings] == [409, 409]
-    assert [model.state.keys[OVER + job][0]["status"] for job in model.jobs] == ["done", "done"]
+    assert [model.state.keys[FINAL_STATE_PREFIX + job][0]["status"] for job in model.jobs] == ["done", "done"]
 
 
 def tokens_in(group: Any) -> dict[str, int]:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -9,7 +9,7 @@
 
 from ashtray.config.settings import Objective
 from ashtray.jobs.job_timing import JobTiming
-from ashtray.jobs.model import LIVE, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.kernel import SECOND_US
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.plan import queue
@@ -39,7 +39,7 @@
     for n, (name, age_s, priority, team) in enumerate(jobs):
         spec = JobSpec(name, team, "gang", priority, 3, 1.0, 0.0, 1.0, "img", 0.0, estimate_us=20 * SECOND_US)
         record = JobRecord(spec, "berth-0", NOW_US - int(age_s * SECOND_US))
-        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(record), n + 1)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(record), n + 1)
     return cluster_state
 
 
@@ -98,7 +98,7 @@
         run_us = int((runs_s[n] if runs_s else 20.0) * SECOND_US)
         spec = JobSpec("panels", "reader", "array", 3, tasks, 10.0, 1.0, 36.0, "img", 0.0, estimate_us=run_us)
         record = JobRecord(spec, "berth-0", NOW_US - int(age_s * SECOND_US))
-        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(record), n + 1)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(record), n + 1)
     return cluster_state
 
 
@@ -148,7 +148,7 @@
     jobs = [("pages", 3.0, 1, "studio"), ("other", 9.0, 1, "studio"), ("other", 5.0, 1, "studio")]
     cluster_state = cluster_state_of(jobs)
     cluster_state.jobs["job-1"].spec.tasks = 50
-    cluster_state.jobs["job-1"].latest_us = NOW_US + 30 * SECOND_US
+    cluster_state.jobs["job-1"].start_by_us = NOW_US + 30 * SECOND_US
     cluster_state.jobs["job-2"].spec.tasks = 2
     found, _ = queue(cluster_state, {}, StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0)), NOW_US)
     assert [job.id for job in found] == ["job-1", "job-2", "job-0"]
@@ -169,8 +169,8 @@
     cluster_state = cluster_state_of(
         [("pages", 100.0, 1, "studio"), ("pages", 20.0, 1, "studio"), ("pages", 90.0, 1, "studio")]
     )
-    cluster_state.jobs["job-0"].latest_us = NOW_US + SECOND_US
-    cluster_state.jobs["job-2"].latest_us = NOW_US - SECOND_US
+    cluster_state.jobs["job-0"].start_by_us = NOW_US + SECOND_US
+    cluster_state.jobs["job-2"].start_by_us = NOW_US - SECOND_US
     times = StatedTimes(OBJECTIVES, JobTiming(OBJECTIVES, 6.0))
     assert [times.standing(cluster_state.jobs[f"job-{n}"], cluster_state, NOW_US).band for n in (0, 1, 2)] == [
         0,
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -5,7 +5,7 @@
 
 from ashtray.config.operators import OperatorSettings
 from ashtray.jobs.messages import Malformed, parse_submission
-from ashtray.jobs.model import LIVE, OVER, JobRecord, JobSpec
+from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.kernel import Reply
 from ashtray.placement.cluster_state import ClusterState
 from tests.model import Model, submission
@@ -115,8 +115,8 @@
     assert ask(model, submission("job-9", waits_on=["job-5"]))[0] == 201
     assert ask(model, submission("job-9"), 2)[1]["status"] == "cancelled"
     model.run(20)
-    assert not [key for key in model.state.keys if key.startswith(LIVE)]
-    assert all(model.state.keys[f"{OVER}job-{n}"][0]["status"] == "cancelled" for n in (0, 3, 5, 9))
+    assert not [key for key in model.state.keys if key.startswith(LIVE_JOB_PREFIX)]
+    assert all(model.state.keys[f"{FINAL_STATE_PREFIX}job-{n}"][0]["status"] == "cancelled" for n in (0, 3, 5, 9))
 
 
 def test_final_states_of_dependencies_are_read_again_after_all_controllers_restart():
@@ -146,22 +146,22 @@
     put(cluster_state, "job-3", 1, needs=["job-2"], deadline_us=100 * SECOND, estimate_us=10 * SECOND)
     jobs = cluster_state.jobs
     assert [jobs[f"job-{n}"].priority for n in (1, 2, 3)] == [1, 1, 1]
-    assert jobs["job-1"].latest_us < jobs["job-2"].latest_us < jobs["job-3"].latest_us
+    assert jobs["job-1"].start_by_us < jobs["job-2"].start_by_us < jobs["job-3"].start_by_us
     put(cluster_state, "job-1", 3, version=9)
     assert jobs["job-1"].priority == 1
-    cluster_state.remove(LIVE + "job-3", 10)
+    cluster_state.remove(LIVE_JOB_PREFIX + "job-3", 10)
     assert [jobs[f"job-{n}"].priority for n in (1, 2)] == [3, 3]
-    assert jobs["job-1"].latest_us is None
+    assert jobs["job-1"].start_by_us is None
 
 
 def test_a_job_is_ready_from_the_moment_when_its_last_dependency_was_done():
     cluster_state = ClusterState()
     put(cluster_state, "job-1", 2)
     put(cluster_state, "job-2", 2, needs=["job-1", "job-0"])
-    cluster_state.put(OVER + "job-0", {"status": "done", "done": 1}, 5)
+    cluster_state.put(FINAL_STATE_PREFIX + "job-0", {"status": "done", "done": 1}, 5)
     assert not cluster_state.dependencies.ready(cluster_state.jobs["job-2"])
-    cluster_state.put(OVER + "job-1", {"status": "done", "done": 1, "at_us": 77 * SECOND}, 6)
-    cluster_state.remove(LIVE + "job-1", 6)
+    cluster_state.put(FINAL_STATE_PREFIX + "job-1", {"status": "done", "done": 1, "at_us": 77 * SECOND}, 6)
+    cluster_state.remove(LIVE_JOB_PREFIX + "job-1", 6)
     assert cluster_state.dependencies.ready(cluster_state.jobs["job-2"])
     assert cluster_state.jobs["job-2"].ready_us == 77 * SECOND
     assert cluster_state.waiting() == {"job-2": [0]}
@@ -169,7 +169,7 @@
 
 def put(cluster_state, job_id: str, priority: int, version: int = 3, **fields) -> None:
     spec = JobSpec("any", "crew", "array", priority, 1, 1.0, 0.0, 1.0, "img", 1.0, **fields)
-    cluster_state.put(LIVE + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), version)
+    cluster_state.put(LIVE_JOB_PREFIX + job_id, msgspec.to_builtins(JobRecord(spec, "berth-0", 0)), version)
 
 
 def test_the_next_stage_does_not_wait_for_delayed_folds():
@@ -202,8 +202,8 @@
     put(cluster_state, "job-0", 2)
     for n in range(1, 5):
         put(cluster_state, f"job-{n}", 2, needs=[f"job-{n - 1}"])
-    cluster_state.put(OVER + "job-0", {"status": "cancelled", "done": 0}, 5)
-    cluster_state.remove(LIVE + "job-0", 5)
+    cluster_state.put(FINAL_STATE_PREFIX + "job-0", {"status": "cancelled", "done": 0}, 5)
+    cluster_state.remove(LIVE_JOB_PREFIX + "job-0", 5)
     assert set(cluster_state.dependencies.cancelled_by) == {"job-1", "job-2", "job-3", "job-4"}
 
 
@@ -287,7 +287,7 @@
 
     def delaying(source, call, deliver):
         txn = call.body["apply"] if call.path == "/txn" else []
-        accepts = any(change.get("put") == f"{LIVE}job-1" for change in txn)
+        accepts = any(change.get("put") == f"{LIVE_JOB_PREFIX}job-1" for change in txn)
         send(source, call, (lambda reply: late_replies.append((deliver, reply))) if accepts else deliver)
 
     model.send = delaying
@@ -311,7 +311,7 @@
     cluster_state = ClusterState()
     cluster_state.read(3)
     put(cluster_state, "job-1", 2, version=4)
-    cluster_state.remove(LIVE + "job-1", 6)
+    cluster_state.remove(LIVE_JOB_PREFIX + "job-1", 6)
     put(cluster_state, "job-1", 2, version=5)
     assert not cluster_state.jobs
     cluster_state.read(6)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ashtray.config.operators import OperatorSettings
-from ashtray.jobs.model import LIVE, JobRecord, JobSpec
+from ashtray.jobs.model import LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.kernel import Kernel
 from ashtray.placement import group_index, task_index
 from ashtray.placement import placer as placer_module
@@ -56,7 +56,7 @@
     placed = core.cluster_state.placed("job-0")
     assert 0 < len(placed) <= 40 * 32
     # The worst case for the encoded record: every other task up to the highest placed one has finished.
-    worst = job.value(finished=set(range(0, max(placed) + 1, 2)))
+    worst = job.updated_record(finished=set(range(0, max(placed) + 1, 2)))
     assert len(msgspec.json.encode(worst)) < 32 * 1024
 
 
@@ -79,7 +79,7 @@
 
 def two_groups(tasks: int) -> ClusterState:
     cluster_state = ClusterState()
-    cluster_state.put(LIVE + "job-1", array(tasks), 3)
+    cluster_state.put(LIVE_JOB_PREFIX + "job-1", array(tasks), 3)
     for n, runs in enumerate(("0-1", "2-3")):
         record = GroupRecord("small", "a", {f"vm-{n}": MachineRecord(f"vm-{n}:1", token=7, holds=[allocation(runs)])})
         cluster_state.put(f"{GROUP}{n}", msgspec.to_builtins(record), 5 + n)
@@ -107,7 +107,7 @@
     fold = Fold(Kernel(None), cluster_state, limits)
     fold.end(cluster_state.jobs["job-1"])
     txn = fold.transaction()
-    assert txn.removes == [LIVE + "job-1"]
+    assert txn.removes == [LIVE_JOB_PREFIX + "job-1"]
     assert txn.puts["ashtray/over/job-1"] == {"status": "done", "done": 4, "at_us": 0}
 
 
@@ -115,7 +115,7 @@
     cluster_state = two_groups(5)
     full = Limits(16, 60_000, int(cluster_state.groups[GROUP + "0"].size / 0.85))
     txn = folded(cluster_state, {"vm-0": ended("vm-0", {0: "done"})}, full)
-    assert txn.puts[LIVE + "job-1"]["finished"] == "0"
+    assert txn.puts[LIVE_JOB_PREFIX + "job-1"]["finished"] == "0"
 
 
 def test_a_machine_on_which_more_jobs_end_than_a_transaction_takes_is_folded_in_parts():
@@ -135,7 +135,7 @@
     holds = [allocation("0", job=f"job-{n}") for n in range(30)]
     record = GroupRecord("small", "a", {"vm-0": MachineRecord("vm-0:1", token=7, holds=holds)})
     for n in range(30):
-        cluster_state.put(f"{LIVE}job-{n}", {**array(tasks), "finished": finished}, 3)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", {**array(tasks), "finished": finished}, 3)
     cluster_state.put(GROUP + "0", msgspec.to_builtins(record), 5)
     seen = {(f"job-{n}", 1, 0): TaskState("ended", "done") for n in range(30)}
     report = Report("vm-0", "vm-0:1", "small", "a", False, 1, 9, 7, None, seen)
@@ -161,7 +161,7 @@
         taken = [allocation("0-3", job=f"job-{n}")]
         machines = {f"vm-{n}-{m}": MachineRecord("x:1", token=7, holds=taken) for m in range(8)}
         groups[n] = msgspec.to_builtins(GroupRecord("small", "a", machines))
-        cluster_state.put(f"{LIVE}job-{n}", array(40), 1)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", array(40), 1)
         cluster_state.put(f"{GROUP}{n}", groups[n], 2)
     cluster_state.waiting()
     cluster_state.take_touched()
@@ -192,7 +192,7 @@
     small = JobSpec("small", "crew", "array", 2, 40, 2.0, 0.0, 2.0, "img", 1.0)
     large = JobSpec("large", "crew", "array", 2, 2, 5.0, 1.0, 27.0, "img", 1.0)
     for n, spec in enumerate((small, large)):
-        cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
+        cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
     plan = Plan(cluster_state, {}, OperatorSettings(), random.Random(1), Limits(16, 60_000, 32_768))
     first, second = queue(cluster_state, {})[0]
     assert sum(n for _, n in plan.place(first, 40, 0.0)) == 0
@@ -208,7 +208,7 @@
     )
     spec = JobSpec("any", "crew", "gang", 1, 12, 4.0, 0.0, 1.0, "img", 1.0)
     for n in range(50):
-        core.cluster_state.put(f"{LIVE}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
+        core.cluster_state.put(f"{LIVE_JOB_PREFIX}job-{n}", msgspec.to_builtins(JobRecord(spec, "berth-0", n)), n + 2)
     plan = core.placer.planner.plan()
     for count in (6, 12, 3):
         for job in core.cluster_state.jobs.values():
--- a/tools/meetings/day.py
+++ b/tools/meetings/day.py
@@ -13,7 +13,7 @@
 """The probability that a day has a third meeting."""
 OVERLAP = 0.6
 """A meeting begins within this part of the length of the previous meeting."""
-LEAST_LENGTH_S = 5.0
+MIN_LENGTH_S = 5.0
 """The least length of a meeting; faults without a duration do not add to its length."""
 QUIET_END_S = 60.0
 """The time from the end of the last fault to the end of a day."""
@@ -39,7 +39,7 @@
 
     def end_s(self) -> float:
         """Return when the last fault is over."""
-        return max(self.begin_s() + LEAST_LENGTH_S, *(fault.end_s() for fault in self.faults))
+        return max(self.begin_s() + MIN_LENGTH_S, *(fault.end_s() for fault in self.faults))
 
 
 @dataclass
