--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -19,7 +19,7 @@
 from ashtray.jobs.model import LIVE_JOB_PREFIX, Job
 from ashtray.kernel import Coroutine
 from ashtray.placement.machine_groups import Machine
-from ashtray.placement.preemption import Victims, orderly, stop_victims
+from ashtray.placement.preemption import Victims, can_checkpoint, stop_victims
 from ashtray.store.client import Txn, Urgency
 
 MAX_COMMITS = 12
@@ -71,7 +71,7 @@
                 continue
             for allocation in machine.holds:
                 job = cluster_state.jobs.get(allocation.job)
-                if job is None or job.id in seen or not orderly(job, allocation):
+                if job is None or job.id in seen or not can_checkpoint(job, allocation):
                     continue
                 seen.add(job.id)
                 yield from self._preempt_gang(job, machine)
--- a/ashtray/fleet/machine_review.py
+++ b/ashtray/fleet/machine_review.py
@@ -12,7 +12,7 @@
 from ashtray.fleet.machine_kind import MachineKind
 from ashtray.kernel import SECOND_US
 from ashtray.placement.machine_groups import Machine
-from ashtray.placement.machine_health import SICK_BLAME
+from ashtray.placement.machine_health import FAULTY_BLAME
 
 SILENT_US = 4 * SECOND_US
 """A worker is silent once it has not been heard for its lease and this margin."""
@@ -147,7 +147,7 @@
         return any(cluster_state.is_over(allocation.job) for allocation in cluster_state.machines[name].holds)
 
     def _fails_tasks(self, machine: Machine) -> bool:
-        return bool(machine.record.failed) and self.base.cluster_state.blame(machine) >= SICK_BLAME
+        return bool(machine.record.failed) and self.base.cluster_state.blame(machine) >= FAULTY_BLAME
 
     def _loss(self, name: str, silence_us: int, silent: bool) -> Loss | None:
         """Return why a machine is given up, or None if it is kept."""
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -106,5 +106,5 @@
         owner = self.presence.owner_of(job.id, job.record.owner)
         standing = self.planner.times.standing(job, base.cluster_state, self.kernel.wall_us)
         run_time = self.estimates.estimate(job)
-        minimum_share = self.planner.floor.shares.get((job.spec.team, job.spec.job_class))
+        minimum_share = self.planner.minimum_share.shares.get((job.spec.team, job.spec.job_class))
         return explain(plan, job, self.kernel.wall_us, owner, standing, run_time, minimum_share)
--- a/ashtray/placement/cluster_state.py
+++ b/ashtray/placement/cluster_state.py
@@ -338,7 +338,7 @@
     def blame(self, machine: Machine) -> int:
         """Return how strongly failed tasks suggest that a machine is faulty, in units of `machine_health`.
 
-        From `machine_health.SICK_BLAME` on the machine is returned to the cloud.
+        From `machine_health.FAULTY_BLAME` on the machine is returned to the cloud.
         """
         return machine_blame(machine, self.jobs, self.final_states, self._tasks.finished)
 
--- a/ashtray/placement/machine_health.py
+++ b/ashtray/placement/machine_health.py
@@ -8,7 +8,7 @@
 from ashtray.jobs.model import Job
 from ashtray.placement.machine_groups import Machine
 
-SICK_BLAME = 3
+FAULTY_BLAME = 3
 """A machine with at least this blame is returned: two failed jobs, one of which works elsewhere, or three."""
 FULL_BLAME = 2
 """Blame by a failed job that works elsewhere."""
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -453,7 +453,7 @@
         # For a job with `spread`, the result depends on where its own tasks are; a job with `same_zone` is bound to
         # its zone.
         alone = (spec.spread and job.id, plan.request_for(job).zone)
-        spared = self.planner.floor.spared(job)
+        spared = self.planner.minimum_share.spared(job)
         alike = (*demand(spec), job.priority, spec.team, job.id in guaranteed, alone, spared)
         # If no machine will do, none of those that have the image in time will, either.
         for image in (None, spec.image) if within_s is not None else (None,):
--- a/ashtray/placement/plan.py
+++ b/ashtray/placement/plan.py
@@ -23,7 +23,7 @@
 from ashtray.teams.guarantees import Excess
 from ashtray.teams.limits import tasks_within, within_guarantee
 
-FULL_SHARE = 0.8
+MAX_RECORD_SHARE = 0.8
 """Nothing more is placed in a group whose record takes up this part of a value's maximum size."""
 ALLOCATION_BYTES, COMPACT_ALLOCATION_BYTES = 75, 45
 """Estimated bytes of an allocation in a group record: in full form, without the names of job and team, and in compact
@@ -104,7 +104,7 @@
     def __init__(self, base: Base, times: StatedTimes, minimum_share: MinimumShare) -> None:
         self._base = base
         self.times = times
-        self.floor = minimum_share
+        self.minimum_share = minimum_share
 
     def plan(self) -> Plan:
         """Return a new plan of the current cluster state."""
@@ -113,7 +113,9 @@
 
     def queue(self) -> tuple[list[Job], set[str]]:
         """Return the waiting jobs in queue order, and the ids of the live jobs within their team's guarantee."""
-        return queue(self._base.cluster_state, self._base.teams, self.times, self._base.kernel.wall_us, self.floor)
+        return queue(
+            self._base.cluster_state, self._base.teams, self.times, self._base.kernel.wall_us, self.minimum_share
+        )
 
 
 class Plan:
@@ -135,7 +137,7 @@
         kinds = cluster_state.types
         self.compact = limits.compact
         self._bytes_left = {
-            key: -1.0 if group.moving else FULL_SHARE * limits.value_bytes - group.size
+            key: -1.0 if group.moving else MAX_RECORD_SHARE * limits.value_bytes - group.size
             for key, group in cluster_state.groups.items()
         }
         """Bytes that placements may still add to each group's record; a reserve is kept for writes that cannot be
--- a/ashtray/placement/preemption.py
+++ b/ashtray/placement/preemption.py
@@ -243,7 +243,7 @@
     return txn
 
 
-def orderly(job: Job, allocation: Allocation) -> bool:
+def can_checkpoint(job: Job, allocation: Allocation) -> bool:
     """Return whether an allocation belongs to a gang that can save a checkpoint if all of it is told to stop."""
     spec = job.spec
     going = allocation.record.stop_us < 0 and allocation.attempt > job.record.broken and not job.portion
--- a/ashtray/workers/folding.py
+++ b/ashtray/workers/folding.py
@@ -27,7 +27,7 @@
 
 NEW_MACHINE_BYTES = 120
 """What a new machine adds to a group's record."""
-FULL_SHARE = 0.6
+MAX_RECORD_SHARE_TO_GROW = 0.6
 """A group whose record takes this part of the value size limit gets no more machines."""
 FULL_FORM_BYTES, COMPACT_FORM_BYTES = (450, 110), (70, 28)
 """Bytes of a record for each machine and each allocation, with images and completed tasks: full and compact form."""
@@ -469,7 +469,7 @@
 
 def max_group_size(limits: Limits) -> int:
     """Return how many machines a record can have at most under the lowest value size limit to come."""
-    return int(limits.final_value_bytes * FULL_SHARE / NEW_MACHINE_BYTES) + 1
+    return int(limits.final_value_bytes * MAX_RECORD_SHARE_TO_GROW / NEW_MACHINE_BYTES) + 1
 
 
 def adoption(
@@ -483,7 +483,7 @@
     """
     first = next(iter(unknown_machines.values()))
     max_machines = fixed_size or group_size(cluster_state.types.get(first.type), limits)
-    max_bytes = limits.value_bytes * FULL_SHARE - NEW_MACHINE_BYTES
+    max_bytes = limits.value_bytes * MAX_RECORD_SHARE_TO_GROW - NEW_MACHINE_BYTES
     type_and_zone = (first.type, first.zone)
     lock = f"{ADOPTED}{first.type}.{first.zone}"
     groups = (group for _, group in sorted(cluster_state.groups.items()) if (group.type, group.zone) == type_and_zone)
--- a/ashtray/workers/splitting.py
+++ b/ashtray/workers/splitting.py
@@ -19,7 +19,7 @@
 from ashtray.placement.state_keys import GROUP, split_key
 from ashtray.runs import encode_runs
 from ashtray.store.client import Limits, Txn, Urgency
-from ashtray.workers.folding import FULL_SHARE, group_size
+from ashtray.workers.folding import MAX_RECORD_SHARE_TO_GROW, group_size
 
 CHECK_INTERVAL_US = SECOND_US // 4
 """The pause between two checks for groups to be split."""
@@ -81,7 +81,7 @@
 def _cut_done(parts: list[GroupPart], cluster_state: ClusterState, limits: Limits) -> None:
     """Add the completed tasks of live jobs that were not moved yet to the last part, and to new parts after it."""
     group = parts[-1].group
-    max_bytes = int(limits.value_bytes * FULL_SHARE)
+    max_bytes = int(limits.value_bytes * MAX_RECORD_SHARE_TO_GROW)
     max_job_bytes = int(limits.value_bytes * RUNS_SHARE)
     last_moved_job = cluster_state.split_progress.get(group.key, ("", ""))[1]
     for job_id, tasks in sorted(group.done.items()):
@@ -99,7 +99,7 @@
 def _cut_machines(parts: list[GroupPart], cluster_state: ClusterState, limits: Limits) -> None:
     """Add the machines to the last part, and to new parts after it."""
     group = parts[-1].group
-    max_bytes = int(limits.value_bytes * FULL_SHARE)
+    max_bytes = int(limits.value_bytes * MAX_RECORD_SHARE_TO_GROW)
     count = group_size(cluster_state.types.get(group.type), limits)
     for name in sorted(group.machines):
         raw = group.machines[name].raw
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -11,7 +11,7 @@
 from ashtray.jobs.model import FINAL_STATE_PREFIX, LIVE_JOB_PREFIX, JobRecord, JobSpec
 from ashtray.kernel import Answer
 from ashtray.placement.cluster_state import ClusterState
-from ashtray.placement.machine_health import SICK_BLAME
+from ashtray.placement.machine_health import FAULTY_BLAME
 from ashtray.placement.plan import Plan, back_off_us, queue
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord, MachineType
 from ashtray.placement.state_keys import GROUP, SPLIT
@@ -160,13 +160,13 @@
     fresh = job(errors=1, failed_on=["vm-1"])
     assert (
         blame_on_one_machine(job_1=fresh, job_2=fresh)
-        < SICK_BLAME
+        < FAULTY_BLAME
         <= blame_on_one_machine(job_1=fresh, job_2=fresh, job_3=fresh)
     )
     # A job that works on other machines adds more blame.
     works = job(errors=1, failed_on=["vm-1"], finished="0")
     done = {"status": "done", "done": 4}
-    assert blame_on_one_machine(job_1=works, job_2=broken, job_3=done) >= SICK_BLAME
+    assert blame_on_one_machine(job_1=works, job_2=broken, job_3=done) >= FAULTY_BLAME
 
 
 def test_a_job_that_fails_everywhere_backs_off_tries_one_task_and_goes_last():
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -9,7 +9,7 @@
 from ashtray.placement.cluster_state import ClusterState
 from ashtray.placement.group_index import GroupIndex
 from ashtray.placement.machine_groups import Allocation, reuse_allocations
-from ashtray.placement.machine_health import SICK_BLAME
+from ashtray.placement.machine_health import FAULTY_BLAME
 from ashtray.placement.records import AllocationRecord, GroupRecord, MachineRecord
 from ashtray.placement.state_keys import GROUP
 from ashtray.placement.task_index import unplaced_tasks
@@ -66,8 +66,8 @@
         ({"job-1": "works"}, 2),
         ({"job-1": "failed here only"}, 1),
         ({"job-1": "fails elsewhere"}, 0),
-        ({"job-1": "works", "job-2": "failed here only"}, SICK_BLAME),
-        ({f"job-{n}": "failed here only" for n in range(3)}, SICK_BLAME),
+        ({"job-1": "works", "job-2": "failed here only"}, FAULTY_BLAME),
+        ({f"job-{n}": "failed here only" for n in range(3)}, FAULTY_BLAME),
         ({f"job-{n}": "fails elsewhere" for n in range(9)}, 0),
     ],
 )
