--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -96,8 +96,8 @@
             lambda: self.worker_manager.heard_us(),
             lambda: self._on_duties_changed(),
             self._on_peer_cancellations,
-            lambda cancelled: self.worker_manager.delivery.settle(cancelled),
-            lambda job_id, settled: self.worker_manager.delivery.void_elsewhere(job_id, settled),
+            lambda cancelled: self.worker_manager.delivery.wait_until_launches_void(cancelled),
+            lambda job_id, settled: self.worker_manager.delivery.void_unclaimed_launches(job_id, settled),
         )
         self.worker_manager = WorkerManager(base, self.presence, self.peers, job_timing, self.renewal)
         self.placer = Placer(base, self.presence, self.grants, job_timing, planner, self.worker_manager)
@@ -122,7 +122,7 @@
     def _on_peer_cancellations(self, host: str, asked_us: int, cancelled: list[str]) -> None:
         """Handle a peer's statement of all cancellations that it knows and this controller had not read."""
         self._note_cancelled_elsewhere(cancelled)
-        self.renewal.stated(host, asked_us)
+        self.renewal.note_statement(host, asked_us)
 
     def _on_cancellation_notice(self, request_id: int, body: Any) -> None:
         try:
@@ -137,7 +137,7 @@
 
     def _answer_when_settled(self, request_id: int, cancelled: list[str]) -> Coroutine[None]:
         """Answer a peer's notice once no worker that reports here can start tasks of these jobs, or shortly after."""
-        settled = yield from self.worker_manager.delivery.settle(cancelled)
+        settled = yield from self.worker_manager.delivery.wait_until_launches_void(cancelled)
         self.kernel.answer(request_id, 200, msgspec.to_builtins(CancellationReceipt(settled)))
 
     def _on_state_changed(self) -> None:
--- a/ashtray/peers/announcements.py
+++ b/ashtray/peers/announcements.py
@@ -58,19 +58,19 @@
         self,
         kernel: Kernel,
         addresses: Iterable[str],
-        settle: Callable[[list[str]], Coroutine[list[str]]] | None = None,
-        void_elsewhere: Callable[[str, set[str]], Coroutine[None]] | None = None,
+        wait_until_launches_void: Callable[[list[str]], Coroutine[list[str]]] | None = None,
+        void_unclaimed_launches: Callable[[str, set[str]], Coroutine[None]] | None = None,
     ) -> None:
         """Create an announcer for the peers at these addresses.
 
-        `settle` gets job ids and returns the machines that report to this controller and can no longer start tasks of
-        these jobs; it always returns soon.  `void_elsewhere` gets a job id and the machines that are settled, and
-        tries to void the job's start orders on all others.
+        `wait_until_launches_void` gets job ids and returns the machines that report to this controller and can no
+        longer start tasks of these jobs; it always returns soon.  `void_unclaimed_launches` gets a job id and the
+        machines that are settled, and tries to void the job's start orders on all others.
         """
         self._kernel = kernel
         self._addresses = list(addresses)
-        self._settle = settle
-        self._void_elsewhere = void_elsewhere
+        self._wait_until_launches_void = wait_until_launches_void
+        self._void_unclaimed_launches = void_unclaimed_launches
         self._open: _Batch | None = None
 
     def announce(self, job_id: str) -> Coroutine[None]:
@@ -84,8 +84,8 @@
         batch = self._open
         batch.job_ids.append(job_id)
         yield Wait(batch.answered, BATCHING_WINDOW_US + ANSWER_TIMEOUT_US)
-        if self._void_elsewhere is not None:
-            yield from self._void_elsewhere(job_id, batch.settled)
+        if self._void_unclaimed_launches is not None:
+            yield from self._void_unclaimed_launches(job_id, batch.settled)
 
     def _send(self, batch: _Batch) -> Coroutine[None]:
         yield Sleep(BATCHING_WINDOW_US)
@@ -93,8 +93,8 @@
         batch.unanswered = len(self._addresses) + 1
         for address in self._addresses:
             self._kernel.spawn(self._tell(address, batch))
-        if self._settle is not None:
-            batch.settled.update((yield from self._settle(batch.job_ids)))
+        if self._wait_until_launches_void is not None:
+            batch.settled.update((yield from self._wait_until_launches_void(batch.job_ids)))
         self._count_answer(batch)
 
     def _tell(self, address: str, batch: _Batch) -> Coroutine[None]:
--- a/ashtray/peers/presence.py
+++ b/ashtray/peers/presence.py
@@ -295,16 +295,17 @@
         base: Base,
         presence: Presence,
         reports: Callable[[], dict[str, int]],
-        moved: Callable[[], None] = lambda: None,
-        stated: Callable[[str, int, list[str]], None] = lambda host, asked_us, cancelled: None,
-        settle: Callable[[list[str]], Coroutine[list[str]]] | None = None,
-        void_elsewhere: Callable[[str, set[str]], Coroutine[None]] | None = None,
+        on_duties_moved: Callable[[], None] = lambda: None,
+        on_statement: Callable[[str, int, list[str]], None] = lambda host, asked_us, cancelled: None,
+        wait_until_launches_void: Callable[[list[str]], Coroutine[list[str]]] | None = None,
+        void_unclaimed_launches: Callable[[str, set[str]], Coroutine[None]] | None = None,
     ) -> None:
         """Create the exchange with the peers of the settings.
 
-        `reports` returns when each worker that reports to this controller last did so.  `moved` is called when duties
-        change their owner.  `stated` is called with each complete statement of cancellations: the peer, when it was
-        asked, and the job ids.  `settle` and `void_elsewhere` are those of `CancellationAnnouncer`.
+        `reports` returns when each worker that reports to this controller last did so.  `on_duties_moved` is called
+        when duties change their owner.  `on_statement` is called with each complete statement of cancellations: the
+        peer, when it was asked, and the job ids.  `wait_until_launches_void` and `void_unclaimed_launches` are those
+        of `CancellationAnnouncer`.
         """
         self.base = base
         self.presence = presence
@@ -313,12 +314,14 @@
         """Returns what the fleet leader tells its successors; None if this controller is not the leader."""
         self.leader_notes: tuple[LeaderNotes, int] | None = None
         """The last notes that came, and when."""
-        self._on_duties_moved = moved
-        self._on_statement = stated
+        self._on_duties_moved = on_duties_moved
+        self._on_statement = on_statement
         self._reports = reports
         self.peers = {p.host_name: PeerState(p.host_name, p.peer_addr) for p in base.settings.others}
         addresses = [peer.address for peer in self.peers.values()]
-        self.announcer = CancellationAnnouncer(base.kernel, addresses, settle, void_elsewhere)
+        self.announcer = CancellationAnnouncer(
+            base.kernel, addresses, wait_until_launches_void, void_unclaimed_launches
+        )
         self.heartbeat_interval_us = self.failure_detector.heartbeat_interval_us
         self._last_doubts: set[str] = set()
         """The peers that this controller doubted at the last evaluation."""
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -124,7 +124,7 @@
     def _kills_of_ended_jobs(self, keys: Iterable[TaskKey]) -> list[dict[str, Any]]:
         return [messages.kill(key, 0) for key in keys if self.base.cluster_state.is_over(key[0])]
 
-    def settle(self, cancelled: Iterable[str]) -> Coroutine[list[str]]:
+    def wait_until_launches_void(self, cancelled: Iterable[str]) -> Coroutine[list[str]]:
         """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_TIMEOUT_US` at most.
 
         Kills are on their way by then.  Orders without an answer within `SETTLE_GRACE_US` are made void by a higher
@@ -143,7 +143,7 @@
         yield from self._wait_until_none_may_start(owned, job_ids, until_us)
         return [worker.name for worker in owned]
 
-    def void_elsewhere(self, job_id: str, settled: set[str]) -> Coroutine[None]:
+    def void_unclaimed_launches(self, job_id: str, settled: set[str]) -> Coroutine[None]:
         """Make void any orders under way to a cancelled job's machines that no controller answers for.
 
         The owner of such a machine has ended, is stalled, or has not received a report from it yet.  `settled` are
--- a/ashtray/workers/renewal.py
+++ b/ashtray/workers/renewal.py
@@ -46,7 +46,7 @@
         self.bound_us = renewal_bound_us(times)
         self._stated_us = dict.fromkeys(peers, NEVER_US)
 
-    def stated(self, peer: str, asked_us: int) -> None:
+    def note_statement(self, peer: str, asked_us: int) -> None:
         """Note that a peer answered a request sent at `asked_us` with a complete statement of its cancellations."""
         self._stated_us[peer] = max(self._stated_us[peer], asked_us)
 
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -22,12 +22,12 @@
     ),
     "cancellations-do-not-settle-here": (
         "ashtray/peers/announcements.py",
-        "            batch.settled.update((yield from self._settle(batch.job_ids)))\n",
+        "            batch.settled.update((yield from self._wait_until_launches_void(batch.job_ids)))\n",
         "            pass\n",
     ),
     "cancellations-do-not-settle-at-peers": (
         "ashtray/controller.py",
-        "settled = yield from self.worker_manager.delivery.settle(cancelled)",
+        "settled = yield from self.worker_manager.delivery.wait_until_launches_void(cancelled)",
         "settled = list(self.cluster_state.machines); yield from ()",
     ),
     "starts-underway-are-forgotten": (
@@ -42,7 +42,7 @@
     ),
     "machines-that-nobody-answers-for-are-left": (
         "ashtray/peers/announcements.py",
-        "            yield from self._void_elsewhere(job_id, batch.settled)\n",
+        "            yield from self._void_unclaimed_launches(job_id, batch.settled)\n",
         "            pass\n",
     ),
     "whoever-answers-is-heard-out": (
--- a/tests/test_meetings_cut_leader.py
+++ b/tests/test_meetings_cut_leader.py
@@ -39,13 +39,13 @@
             self.drift(self.wanted_drift_ppm)
         super().start_host(host)
         guard = host.core.renewal
-        stated = guard.stated
+        note_statement = guard.note_statement
 
         def record_statement(peer: str, asked_us: int) -> None:
             self.accepted.append((host.number, peer, self.true_us(host, asked_us), self.now))
-            stated(peer, asked_us)
+            note_statement(peer, asked_us)
 
-        guard.stated = record_statement
+        guard.note_statement = record_statement
 
     def true_us(self, host: Any, steady_us: int) -> int:
         """Return the true time at which a controller's monotonic clock showed `steady_us`."""
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -364,12 +364,12 @@
 def test_what_is_known_is_as_old_as_the_oldest_statement_or_the_last_read():
     guard = RenewalGuard(WorkerTimes(2.5, 18.0, 30.0, 4.0, 43.0), ["b", "c"])
     assert guard.informed_us(90, 10) == 10
-    guard.stated("b", 40)
+    guard.note_statement("b", 40)
     assert guard.informed_us(90, 10) == 10
-    guard.stated("c", 60)
+    guard.note_statement("c", 60)
     assert guard.informed_us(90, 10) == 40
     # A late answer to an earlier request does not make the information older.
-    guard.stated("b", 30)
+    guard.note_statement("b", 30)
     assert guard.informed_us(90, 10) == 40
     assert guard.informed_us(90, 70) == 70
     assert RenewalGuard(WorkerTimes(2.5, 18.0, 30.0, 4.0, 43.0), []).informed_us(90, 10) == 90
@@ -431,13 +431,13 @@
 
         monkeypatch.setattr(peers, "_statement", make_statement)
     core = model.hosts[0].core
-    stated = core.renewal.stated
+    note_statement = core.renewal.note_statement
 
     def count_statement(peer, asked_us):
         counted.append((asked_us - SECOND, made_us_of[peer]))
-        stated(peer, asked_us)
+        note_statement(peer, asked_us)
 
-    monkeypatch.setattr(core.renewal, "stated", count_statement)
+    monkeypatch.setattr(core.renewal, "note_statement", count_statement)
     model.run(20)
     assert len(counted) > 10
     # A statement does not contain what the peer confirmed between making it and its arrival.
