--- a/ashtray/controller.py
+++ b/ashtray/controller.py
@@ -217,7 +217,7 @@
         kernel.spawn_repeating(self.splitter.run, 0)
         kernel.spawn_repeating(self.estimate_store.run, 0)
         kernel.spawn_repeating(self.jobs.states.resolve, 0)
-        kernel.spawn_repeating(self.jobs.cancelling.bury, 0)
+        kernel.spawn_repeating(self.jobs.cancellation_handler.end_cancelled_dependents, 0)
         kernel.spawn_repeating(self._log_counters, COUNTERS_INTERVAL_US)
         kernel.spawn_repeating(self.worker_manager.forget_silent_workers, 20 * SECOND_US)
         return kernel.run()
--- a/ashtray/fleet/handover.py
+++ b/ashtray/fleet/handover.py
@@ -49,7 +49,7 @@
         now_us = self.kernel.now_us
         self._began_us = now_us
         self.takeover = Takeover(now_us)
-        self.takeover.ok(Check.TERM, now_us)
+        self.takeover.pass_check(Check.TERM, now_us)
         self.inventory.begin_term()
         self.kernel.log("info", "runs the fleet")
         self._read_notes(term)
@@ -100,29 +100,29 @@
             # Safety point 22: this read begins after the term, so it includes all that the predecessor committed.
             if not (yield from self.base.follower.barrier()):
                 return
-            takeover.ok(Check.READ, self.kernel.now_us)
+            takeover.pass_check(Check.READ, self.kernel.now_us)
             # Silence counts from here, for the other checks can wait for the cloud for long.  Otherwise tasks of a
             # cancelled job would stay on a silent machine for that time.
             self.inventory.note_known_machines()
         if takeover.missing(Check.INTENTS):
             if not (yield from self._repeat_intents()):
                 return
-            takeover.ok(Check.INTENTS, self.kernel.now_us)
+            takeover.pass_check(Check.INTENTS, self.kernel.now_us)
         if takeover.missing(Check.LIST):
             yield from self.inventory.read_list()
             if not self.inventory.listed_us or not self._list_complete():
                 return
-            takeover.ok(Check.LIST, self.kernel.now_us)
+            takeover.pass_check(Check.LIST, self.kernel.now_us)
         if self.kernel.not_stalled_since_us > takeover.began_us or not self.lease.holds():
             self._restart_checks()
             return
-        takeover.ok(Check.AWAKE, self.kernel.now_us)
+        takeover.pass_check(Check.AWAKE, self.kernel.now_us)
         self.kernel.log("info", f"the fleet was taken over: {takeover.stages()} s")
 
     def _restart_checks(self) -> None:
         """Reset all checks: the process was paused, or the key was lost."""
-        self.takeover.again(self.kernel.now_us)
-        self.takeover.ok(Check.TERM, self.kernel.now_us)
+        self.takeover.restart(self.kernel.now_us)
+        self.takeover.pass_check(Check.TERM, self.kernel.now_us)
         self.inventory.listed_us = 0
 
     def _list_complete(self) -> bool:
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -91,7 +91,7 @@
                 return None
         return end_job(txn, job, "cancelled", len(cluster_state.finished(job)), self.kernel.wall_us)
 
-    def bury(self) -> Coroutine[None]:
+    def end_cancelled_dependents(self) -> Coroutine[None]:
         """Write the final states of jobs that count as cancelled because a dependency was cancelled."""
         base = self.base
         yield Sleep(SECOND_US)
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -49,8 +49,8 @@
         self.sender = AnswerSender(base.kernel)
         self.states = JobStates(base, on_placeable)
         self.forwarder = Forwarder(base, presence, peers, self.sender)
-        self.submitting = SubmissionHandler(base, presence, self.states, self.sender, on_placeable)
-        self.cancelling = CancellationHandler(base, presence, peers, self.states, self.sender)
+        self.submission_handler = SubmissionHandler(base, presence, self.states, self.sender, on_placeable)
+        self.cancellation_handler = CancellationHandler(base, presence, peers, self.states, self.sender)
 
     def submit(self, request_id: int, body: Any, forwarded: bool = False) -> None:
         """Handle a submission; `body` is the decoded body, None if it could not be decoded."""
@@ -61,10 +61,10 @@
             return
         if not self.forwarder.ready():
             self.forwarder.forward(request_id, UserRequest("POST", "/submissions", body), forwarded)
-        elif self.base.store.backlog() + self.submitting.accepting.waiting() >= MAX_BACKLOG:
+        elif self.base.store.backlog() + self.submission_handler.accepting.waiting() >= MAX_BACKLOG:
             self.sender.send(request_id, BUSY)
         else:
-            self.kernel.spawn(self.submitting.submit(request_id, job_id, spec))
+            self.kernel.spawn(self.submission_handler.submit(request_id, job_id, spec))
 
     def poll(self, request_id: int, job_id: str, forwarded: bool = False) -> None:
         """Answer a job's state."""
@@ -84,7 +84,7 @@
         if not self.forwarder.ready():
             self.forwarder.forward(request_id, UserRequest("POST", f"/submissions/{job_id}/abort"), forwarded)
         else:
-            self.kernel.spawn(self.cancelling.cancel(request_id, job_id))
+            self.kernel.spawn(self.cancellation_handler.cancel(request_id, job_id))
 
     def explain(self, request_id: int, job_id: str, forwarded: bool = False) -> None:
         """Answer why a job's tasks wait or run where they do; for a job that is over, answer its state."""
--- a/ashtray/standby/takeover.py
+++ b/ashtray/standby/takeover.py
@@ -32,7 +32,7 @@
     decided: bool = False
     """Whether the first decision has been made."""
 
-    def ok(self, check: Check, now_us: int) -> None:
+    def pass_check(self, check: Check, now_us: int) -> None:
         """Note that a check has passed; only the first time is kept."""
         self.passed.setdefault(check, now_us)
 
@@ -44,7 +44,7 @@
         """Whether all checks have passed."""
         return all(check in self.passed for check in Check)
 
-    def again(self, now_us: int) -> None:
+    def restart(self, now_us: int) -> None:
         """Reset all checks, because the process was paused or the term was lost."""
         self.began_us = now_us
         self.passed.clear()
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -161,8 +161,8 @@
     "read-before-the-term": (
         HANDOVER,
         "            if not (yield from self.base.follower.barrier()):\n                return\n"
-        "            takeover.ok(Check.READ",
-        "            takeover.ok(Check.READ",
+        "            takeover.pass_check(Check.READ",
+        "            takeover.pass_check(Check.READ",
     ),
     "suspected-alone": (
         "ashtray/standby/failure_detector.py",
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -200,8 +200,8 @@
     model.calm()
     for host in model.hosts:
         poll = host.core.jobs.poll
-        host.core.jobs.poll = lambda request, job, handed=False, poll=poll: (
-            None if job == "job-1" else poll(request, job, handed)
+        host.core.jobs.poll = lambda request, job, forwarded=False, poll=poll: (
+            None if job == "job-1" else poll(request, job, forwarded)
         )
     with pytest.raises(RuleBroken, match="forgotten: no question about job-1"):
         model.run(90)
--- a/tests/test_bad_nights.py
+++ b/tests/test_bad_nights.py
@@ -242,14 +242,14 @@
     model.submit(submission("job-1", pieces=2, crew="free", expect_s=9.0))
     while "job-1" not in core.cluster_state.allocations:
         model.run(0.1)
-    txn = core.jobs.cancelling.transaction("job-1")
+    txn = core.jobs.cancellation_handler.transaction("job-1")
     groups = {core.cluster_state.machines[name].group for name, _ in core.cluster_state.allocations["job-1"]}
     assert groups and groups <= set(txn.guards)
     # The record of a group that is being split does not change while its machines are moved and changed elsewhere.
     locks = {SPLIT + key[len(GROUP) :] for key in groups}
     assert not locks & set(txn.guards)
     core.limits.value_bytes = 10
-    assert locks <= set(core.jobs.cancelling.transaction("job-1").guards)
+    assert locks <= set(core.jobs.cancellation_handler.transaction("job-1").guards)
 
 
 def test_many_jobs_of_one_task_are_ranked_once():
--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -146,7 +146,7 @@
     def queue_length(self) -> int:
         """Return how many requests and writes of all controllers wait for a budget, and jobs for their acceptance."""
         stores = [host.core.store for host in self.hosts]
-        accepting = sum(host.core.jobs.submitting.accepting.waiting() for host in self.hosts)
+        accepting = sum(host.core.jobs.submission_handler.accepting.waiting() for host in self.hosts)
         return accepting + sum(len(store.writes.waiting) + len(store.requests.waiting) for store in stores)
 
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -330,9 +330,9 @@
     takeover = Takeover(0)
     for check in Check:
         assert not takeover.ready()
-        takeover.ok(check, 1_000)
+        takeover.pass_check(check, 1_000)
     assert takeover.ready() and takeover.stages().startswith("term 0.00")
-    takeover.again(2_000)
+    takeover.restart(2_000)
     assert not takeover.ready() and all(takeover.missing(check) for check in Check)
 
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -250,11 +250,11 @@
     jobs = model.hosts[2].core.jobs
     poll = jobs.poll
 
-    def lie(request_id: int, job_id: str, handed: bool = False) -> None:
+    def lie(request_id: int, job_id: str, forwarded: bool = False) -> None:
         if model.jobs[job_id].told == "done":
             jobs.kernel.answer(request_id, 200, {"name_id": job_id, "status": state, "done": 0, "running": 0})
         else:
-            poll(request_id, job_id, handed)
+            poll(request_id, job_id, forwarded)
 
     jobs.poll = lie
     with pytest.raises(RuleBroken, match=f"went_back: .* from done to {state}"):
@@ -264,7 +264,7 @@
 def test_close_looks_detect_a_controller_that_accepts_a_known_job_as_new():
     model = busy_model()
     jobs = model.hosts[2].core.jobs
-    jobs.submit = lambda request_id, body, handed=False: jobs.kernel.answer(
+    jobs.submit = lambda request_id, body, forwarded=False: jobs.kernel.answer(
         request_id, 201, {"name_id": body["name_id"], "status": "pending"}
     )
     with pytest.raises(RuleBroken, match="went_back: .* is accepted anew"):
@@ -331,10 +331,10 @@
     model.submit(submission("job-0", **SERVICE))
     for host in model.hosts:
         jobs = host.core.jobs
-        jobs.abort = lambda request_id, job_id, handed=False, jobs=jobs: jobs.kernel.answer(
+        jobs.abort = lambda request_id, job_id, forwarded=False, jobs=jobs: jobs.kernel.answer(
             request_id, 200, {"name_id": job_id, "status": "cancelled"}
         )
-        jobs.poll = lambda request_id, job_id, handed=False, jobs=jobs: jobs.kernel.answer(request_id, 503, {})
+        jobs.poll = lambda request_id, job_id, forwarded=False, jobs=jobs: jobs.kernel.answer(request_id, 503, {})
     while not any(worker.tasks for worker in model.workers.values()):
         model.run(0.1)
     model.cancel("job-0")
@@ -407,7 +407,7 @@
 def test_acceptance_of_a_job_that_can_never_run_is_detected():
     model = busy_model()
     for host in model.hosts:
-        host.core.jobs.submitting.refusal = lambda spec: None
+        host.core.jobs.submission_handler.refusal = lambda spec: None
     model.odd_requests(5)
     with pytest.raises(RuleBroken, match="accepted: 201 instead of 422"):
         model.run(5)
@@ -418,8 +418,8 @@
     for host in model.hosts:
         jobs = host.core.jobs
         submit = jobs.submit
-        jobs.submit = lambda request_id, body, handed=False, submit=submit: submit(
-            request_id, {**submission("job-1"), **body}, handed
+        jobs.submit = lambda request_id, body, forwarded=False, submit=submit: submit(
+            request_id, {**submission("job-1"), **body}, forwarded
         )
     model.odd_requests(5)
     with pytest.raises(RuleBroken, match="accepted: 20. instead of 4"):
