--- a/ashtray/estimates/learned.py
+++ b/ashtray/estimates/learned.py
@@ -217,7 +217,7 @@
 
     # Learning
 
-    def ran(self, job: Job, run_us: int, machine: str = "") -> None:
+    def add_run(self, job: Job, run_us: int, machine: str = "") -> None:
         """Add the run time of a completed task.
 
         It does not include the time to fetch the image and to wait for the gang, nor the work that was restored from
@@ -226,7 +226,7 @@
         if job.spec.kind != "service" and run_us > 0:
             self._observe(job, _log_seconds(run_us), machine, censored=False)
 
-    def ran_at_least(self, job: Job, run_us: int) -> None:
+    def add_lower_bound(self, job: Job, run_us: int) -> None:
         """Add the run time of a task that was stopped or lost: a lower bound of its full run time."""
         if job.spec.kind != "service" and run_us > 0:
             self._observe(job, _log_seconds(run_us), "", censored=True)
--- a/ashtray/estimates/watch.py
+++ b/ashtray/estimates/run_observer.py
@@ -14,10 +14,10 @@
 NOT_STARTED = ("fetching", "waiting")
 """The states of a task before it runs."""
 MAX_RESUMED = 20_000
-LEAD_WEIGHT = 0.05
+START_DELAY_WEIGHT = 0.05
 """The share of one observation in the moving average of a class's lead time, the time from placement to start."""
-MAX_LEAD_US = 300 * SECOND_US
-INITIAL_LEAD_US = 5 * SECOND_US
+MAX_START_DELAY_US = 300 * SECOND_US
+INITIAL_START_DELAY_US = 5 * SECOND_US
 
 
 class ReportedTask(Protocol):
@@ -27,7 +27,7 @@
     cause: str | None
 
 
-class Watch:
+class RunObserver:
     """Turns reports into observations of run times.
 
     A run is measured from the first report that shows the task running, provided that an earlier report showed it not
@@ -41,7 +41,7 @@
         self.estimates = estimates
         self._job_of = job_of
         self._resumed: dict[tuple[str, int], None] = {}
-        self._lead_us: dict[str, int] = {}
+        self._start_delay_us: dict[str, int] = {}
         """Maps a job class to the mean time from a task's placement to its start, in which the order is delivered,
         the image is fetched and the gang becomes complete."""
 
@@ -77,9 +77,9 @@
         task = (key[0], key[2])
         resumed = task in self._resumed or (job.spec.kind == "gang" and job.record.broken > 0)
         if cause == "done" and not (resumed and job.spec.checkpoint_us):
-            self.estimates.ran(job, run_us, machine)
+            self.estimates.add_run(job, run_us, machine)
         else:
-            self.estimates.ran_at_least(job, run_us)
+            self.estimates.add_lower_bound(job, run_us)
         if cause != "done" and job.spec.checkpoint_us:
             self._resumed[task] = None
             if len(self._resumed) > MAX_RESUMED:
@@ -88,9 +88,11 @@
     def started(self, job: Job, waited_us: int) -> None:
         """Add the time from a task's placement to the report that showed it running."""
         name = job.spec.job_class
-        old = self._lead_us.get(name, INITIAL_LEAD_US)
-        self._lead_us[name] = old + int(LEAD_WEIGHT * (min(max(waited_us, 0), MAX_LEAD_US) - old))
+        old = self._start_delay_us.get(name, INITIAL_START_DELAY_US)
+        self._start_delay_us[name] = old + int(
+            START_DELAY_WEIGHT * (min(max(waited_us, 0), MAX_START_DELAY_US) - old)
+        )
 
-    def lead_us(self, job: Job) -> int:
+    def start_delay_us(self, job: Job) -> int:
         """Return the expected time from placement to start for a task of a job, in microseconds."""
-        return self._lead_us.get(job.spec.job_class, INITIAL_LEAD_US)
+        return self._start_delay_us.get(job.spec.job_class, INITIAL_START_DELAY_US)
--- a/ashtray/jobs/job_timing.py
+++ b/ashtray/jobs/job_timing.py
@@ -6,7 +6,7 @@
 
 from ashtray.config.settings import Objective
 from ashtray.estimates.learned import Estimates
-from ashtray.estimates.watch import Watch
+from ashtray.estimates.run_observer import RunObserver
 from ashtray.jobs.model import Job
 from ashtray.kernel import SECOND_US
 
@@ -25,7 +25,7 @@
         self, objectives: list[Objective], patience_s: float, job_of: Callable[[str], Job | None] = lambda _: None
     ) -> None:
         self.estimates = Estimates()
-        self.watch = Watch(self.estimates, job_of)
+        self.run_observer = RunObserver(self.estimates, job_of)
         self._patience_s = patience_s
         wait_objectives = [o for o in objectives if o.kind == "wait" and o.job_class and o.within_s]
         self.wait_objectives_s: dict[str, float] = {}
@@ -68,11 +68,11 @@
 
     def run_us(self, job: Job) -> int:
         """Return for how many microseconds a task is expected to hold its allocation, from placement to end."""
-        return self.watch.lead_us(job) + self.estimates.median_us(job)
+        return self.run_observer.start_delay_us(job) + self.estimates.median_us(job)
 
     def late_run_us(self, job: Job) -> int:
         """Return the same for a task whose run time is at the 95th percentile."""
-        return self.watch.lead_us(job) + self.estimates.estimate(job).p95_us
+        return self.run_observer.start_delay_us(job) + self.estimates.estimate(job).p95_us
 
     def patience_s(self, job: Job) -> float:
         """Return how many seconds a job may wait rather than pay the cheapest machine's price once more.
--- a/ashtray/lab/replay.py
+++ b/ashtray/lab/replay.py
@@ -115,7 +115,7 @@
 
     def learn(self, run: Run) -> None:
         """Take in a run that has ended."""
-        self.estimates.ran(job_of(run), int(run.run_s * SECOND_US), run.machine)
+        self.estimates.add_run(job_of(run), int(run.run_s * SECOND_US), run.machine)
 
     def predict(self, run: Run) -> tuple[float, float]:
         """Predict a run: its median and its 90th percentile, in seconds."""
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -237,7 +237,7 @@
         # Only a last report with this process's token is certain to be recent.  After any other, a task that runs now
         # may have begun at any time.
         old = worker.report.tasks if worker.report is not None and worker.token_confirmed else None
-        started = self.job_timing.watch.report(
+        started = self.job_timing.run_observer.report(
             worker.name, worker.running_since_us, old, report.tasks, self.kernel.now_us
         )
         machine = self.base.cluster_state.machines.get(worker.name)
@@ -246,7 +246,7 @@
             job = self.base.cluster_state.jobs.get(job_id)
             allocation = next((h for h in holds if (h.job, h.attempt) == (job_id, attempt)), None)
             if job is not None and allocation is not None:
-                self.job_timing.watch.started(job, self.kernel.wall_us - allocation.record.placed_us)
+                self.job_timing.run_observer.started(job, self.kernel.wall_us - allocation.record.placed_us)
 
     def _next_token(self, above: int) -> int:
         """Return a new ownership token that is higher than `above`."""
--- a/tests/mutants/safety.py
+++ b/tests/mutants/safety.py
@@ -238,7 +238,7 @@
         "if True), None)",
     ),
     "one-known-ends-all": ("ashtray/jobs/accepting.py", "if failed and not known:", "if False:"),
-    "failures-teach": ("ashtray/estimates/watch.py", 'if job is None or cause == "error":', "if job is None:"),
+    "failures-teach": ("ashtray/estimates/run_observer.py", 'if job is None or cause == "error":', "if job is None:"),
     "eras-are-added": ("ashtray/estimates/model.py", "if row[ERA] != other[ERA]:", "if False:"),
     "one-job-drowns-all": (
         "ashtray/estimates/learned.py",
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -29,7 +29,7 @@
 from ashtray.estimates.learned import MAX_LEVELS, Estimates, levels
 from ashtray.estimates.model import MAX_WEIGHT, WEIGHT, merge, new_row
 from ashtray.estimates.operators import answer_operator
-from ashtray.estimates.watch import Watch
+from ashtray.estimates.run_observer import RunObserver
 from ashtray.kernel import SECOND_US
 from ashtray.lab import replay, traces
 from ashtray.placement.state_keys import ESTIMATE
@@ -75,9 +75,9 @@
 def test_one_large_job_does_not_outweigh_the_others() -> None:
     estimates = Estimates()
     for n in range(10):
-        estimates.ran(replay.job_of(run_of(job=f"job-{n}")), 100 * SECOND_US)
+        estimates.add_run(replay.job_of(run_of(job=f"job-{n}")), 100 * SECOND_US)
     for _ in range(20_000):
-        estimates.ran(replay.job_of(run_of(job="job-large", expect_s=100.0)), 20 * SECOND_US)
+        estimates.add_run(replay.job_of(run_of(job="job-large", expect_s=100.0)), 20 * SECOND_US)
     assert estimates.rows[""][WEIGHT] < 40
     assert estimates.median_us(replay.job_of(run_of())) > 25 * SECOND_US
 
@@ -92,7 +92,7 @@
     estimates = Estimates()
     for run_s, expect_s, ended, name in seen:
         job = replay.job_of(run_of(job_class=name, expect_s=expect_s))
-        learn = estimates.ran if ended else (lambda job, us, _: estimates.ran_at_least(job, us))
+        learn = estimates.add_run if ended else (lambda job, us, _: estimates.add_lower_bound(job, us))
         learn(job, int(run_s * SECOND_US), "m")
     for name in "abd":
         job = replay.job_of(run_of(job_class=name, expect_s=30.0))
@@ -112,7 +112,9 @@
     def row(values: list[float]) -> array[float]:
         estimates = Estimates()
         for n, run_s in enumerate(values):
-            estimates.ran(replay.job_of(run_of(job=f"job-{n}", expect_s=run_s * (1 + n / 3))), int(run_s * SECOND_US))
+            estimates.add_run(
+                replay.job_of(run_of(job=f"job-{n}", expect_s=run_s * (1 + n / 3))), int(run_s * SECOND_US)
+            )
         return estimates.rows[""]
 
     a, b, c = (row(values) for values in runs)
@@ -127,7 +129,7 @@
 def test_records_stay_within_their_size_limit_for_any_names(names: list[tuple[str, str]], most: int) -> None:
     estimates = Estimates()
     for name, image in names:
-        estimates.ran(replay.job_of(run_of(job_class=name, image=image)), 7 * SECOND_US)
+        estimates.add_run(replay.job_of(run_of(job_class=name, image=image)), 7 * SECOND_US)
     record = folded(None, "berth-0", (3, 1), estimates.fresh, most)
     assert len(msgspec.json.encode(record)) <= most
     assert parse_record(msgspec.to_builtins(record)) == record
@@ -136,7 +138,7 @@
 def test_the_number_of_levels_is_bounded() -> None:
     estimates = Estimates()
     for n in range(MAX_LEVELS):
-        estimates.ran(replay.job_of(run_of(job=f"job-{n}", job_class=f"class-{n}")), SECOND_US)
+        estimates.add_run(replay.job_of(run_of(job=f"job-{n}", job_class=f"class-{n}")), SECOND_US)
     assert len(estimates.rows) == MAX_LEVELS and len(estimates.fresh) <= MAX_LEVELS
     # Levels in use are kept.
     assert "" in estimates.rows and levels(replay.job_of(run_of(job_class=f"class-{MAX_LEVELS - 1}")).spec)[3]
@@ -160,14 +162,14 @@
 def test_only_complete_runs_count_as_run_times() -> None:
     jobs = {"job-1": replay.job_of(run_of(expect_s=10.0))}
     estimates = Estimates()
-    watch = Watch(estimates, jobs.get)
+    observer = RunObserver(estimates, jobs.get)
 
     def compare_reports(*states: tuple[str, str | None]) -> None:
         began: dict[Any, int] = {}
         old: dict[Any, TaskState] = {}
         for n, (state, cause) in enumerate(states):
             new = {("job-1", 1, 0): TaskState(state, cause)} if state else {}
-            watch.report("m", began, old, new, n * 50 * SECOND_US)
+            observer.report("m", began, old, new, n * 50 * SECOND_US)
             old = new
 
     compare_reports(("fetching", None), ("running", None), ("ended", "error"))
@@ -179,8 +181,8 @@
     before = estimates.rows[""][WEIGHT]
     # The task was running when its worker came from another controller, so its start time is unknown.
     began: dict[Any, int] = {}
-    watch.report("m", began, None, {("job-1", 1, 0): TaskState("running", None)}, 0)
-    watch.report("m", began, {}, {("job-1", 1, 0): TaskState("ended", "done")}, SECOND_US)
+    observer.report("m", began, None, {("job-1", 1, 0): TaskState("running", None)}, 0)
+    observer.report("m", began, {}, {("job-1", 1, 0): TaskState("ended", "done")}, SECOND_US)
     assert estimates.rows[""][WEIGHT] == before
 
 
@@ -228,7 +230,7 @@
 def test_rows_can_be_encoded_and_decoded() -> None:
     estimates = Estimates()
     for n in range(50):
-        estimates.ran(replay.job_of(run_of(job=f"job-{n}")), (60 + n) * SECOND_US)
+        estimates.add_run(replay.job_of(run_of(job=f"job-{n}")), (60 + n) * SECOND_US)
     for row in estimates.rows.values():
         assert list(unpack(pack(row))) == pytest.approx(list(row), rel=1e-3, abs=1e-3)
     with pytest.raises(UnreadableRecord):
@@ -240,7 +242,7 @@
 def test_operators_can_list_and_forget_estimates() -> None:
     estimates = Estimates()
     for n in range(20):
-        estimates.ran(replay.job_of(run_of(job=f"job-{n}", expect_s=50.0)), 100 * SECOND_US)
+        estimates.add_run(replay.job_of(run_of(job=f"job-{n}", expect_s=50.0)), 100 * SECOND_US)
     status, body = answer_operator(estimates, "GET", "/operators/estimates/pages", None)
     assert status == 200 and all(1.7 < row["ratio"] < 2.1 for row in body["estimates"])
     assert [row["level"] for row in body["estimates"]] == sorted(
--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -36,13 +36,13 @@
         """Start a controller and record the run times that it learns."""
         super().start_host(host)
         estimates = host.core.worker_manager.job_timing.estimates
-        ran = estimates.ran
+        ran = estimates.add_run
 
         def recorded(job: Any, run_us: int, machine: Any) -> Any:
             self.learnt_us.append(run_us)
             return ran(job, run_us, machine)
 
-        estimates.ran = recorded
+        estimates.add_run = recorded
 
     def _copy_late(self, name: str, report: dict[str, Any]) -> None:
         self.sent_reports.setdefault(name, []).append(report)
