--- a/ashtray/fleet/decommissioning.py
+++ b/ashtray/fleet/decommissioning.py
@@ -81,7 +81,7 @@
         for (name, _), allocation in self.base.cluster_state.allocations[job.id].items():
             victims.setdefault(name, {}).setdefault((job.id, allocation.attempt), set()).update(allocation.tasks)
         build = partial(stop_victims, self.base.cluster_state, victims, self.base.limits, whole=True)
-        if (yield from self.base.follower.commit(build, len(victims), Urgency.FREE, "stop")):
+        if (yield from self.base.follower.commit(build, len(victims), Urgency.FOLD, "stop")):
             self.kernel.log("info", f"{job.id} is stopped with a checkpoint: {machine.name} is being returned")
 
     def _drain(self, names: list[str]) -> Coroutine[None]:
@@ -171,7 +171,7 @@
             build = partial(self._removal_transaction, remaining, removed)
             groups = {machines[name].group for name in remaining if name in machines}
             expected_writes = min(len(groups) + 1, MAX_EXPECTED_WRITES)
-            committed = yield from self.base.follower.commit(build, expected_writes, Urgency.FREE, "remove")
+            committed = yield from self.base.follower.commit(build, expected_writes, Urgency.FOLD, "remove")
             if committed:
                 self._note_removed(removed)
             elif committed is None or not (yield from self.base.follower.barrier()):
--- a/ashtray/jobs/cancelling.py
+++ b/ashtray/jobs/cancelling.py
@@ -108,7 +108,7 @@
                     messages.append(f"{job.id} cancelled with {base.cluster_state.dependencies.cancelled_by[job.id]}")
             return txn if messages else None
 
-        if (yield from base.follower.commit(build, 2, Urgency.FREE, "bury")):
+        if (yield from base.follower.commit(build, 2, Urgency.FOLD, "bury")):
             for line in messages:
                 self.kernel.log("info", line)
 
--- a/ashtray/jobs/service.py
+++ b/ashtray/jobs/service.py
@@ -77,7 +77,7 @@
             self.kernel.spawn(self._poll(request_id, job_id))
 
     def _poll(self, request_id: int, job_id: str) -> Coroutine[None]:
-        self.sender.send(request_id, (yield from self.states.look_up(job_id, Urgency.FREE)))
+        self.sender.send(request_id, (yield from self.states.look_up(job_id, Urgency.FOLD)))
 
     def abort(self, request_id: int, job_id: str, forwarded: bool = False) -> None:
         """Cancel a job."""
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -490,7 +490,7 @@
             build = partial(self._transaction, batch, lines)
             # Urgent batches share a priority with the folds: otherwise a controller with many workers never gets to
             # place.
-            urgency = Urgency.FREE if batch.urgent else Urgency.PLACE
+            urgency = Urgency.FOLD if batch.urgent else Urgency.PLACE
             committed = yield from base.follower.commit(build, batch.writes(), urgency, "place")
             if committed is None:
                 return False
--- a/ashtray/store/client.py
+++ b/ashtray/store/client.py
@@ -43,7 +43,7 @@
     KEEP_ALIVE = 0
     CANCEL = 1
     ACCEPT = 2
-    FREE = 3
+    FOLD = 3
     PLACE = 4
     BOOKKEEPING = 5
 
--- a/ashtray/store/follower.py
+++ b/ashtray/store/follower.py
@@ -17,7 +17,7 @@
 """The longest delay that is added to a pause while this process is behind with its inputs."""
 REFRESH_TIMEOUT_US = 500_000
 """How long a commit waits at most for a refresh of the cluster state."""
-SHARED_URGENCIES = (Urgency.FREE, Urgency.PLACE)
+SHARED_URGENCIES = (Urgency.FOLD, Urgency.PLACE)
 """The urgencies of writes to records that several controllers write."""
 
 
--- a/ashtray/workers/worker_manager.py
+++ b/ashtray/workers/worker_manager.py
@@ -472,7 +472,7 @@
             )
             return txn
 
-        if (yield from self.base.follower.commit(build, 2, Urgency.FREE, "adopt")):
+        if (yield from self.base.follower.commit(build, 2, Urgency.FOLD, "adopt")):
             for name in adopted:
                 report = self._unknown_machines.pop(name)
                 self.kernel.log("info", f"{name} ({report.type}, {report.zone}) is up")
@@ -582,7 +582,7 @@
             yield Wait(self._fold_signal, self._last_fold_us + self._fold_interval_us() - self.kernel.now_us)
         self._fold_all = self.kernel.now_us >= self._last_fold_us + self._fold_interval_us()
         expected_writes = min(len(self._dirty if self._fold_all else self._urgent) + 1, self.base.limits.ops)
-        committed = yield from self.base.follower.commit(self._fold, expected_writes, Urgency.FREE, "fold")
+        committed = yield from self.base.follower.commit(self._fold, expected_writes, Urgency.FOLD, "fold")
         last_fold = self._last_fold
         if committed and last_fold is not None:
             self._failed_folds = 0
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -182,7 +182,7 @@
             controller, controller.core.request(controller.now_us, controller.now_us, request_id, method, path, body)
         )
 
-    def commit(self, node: int, build: Callable[[Controller], Txn | None], urgency: Urgency = Urgency.FREE) -> None:
+    def commit(self, node: int, build: Callable[[Controller], Txn | None], urgency: Urgency = Urgency.FOLD) -> None:
         """Let a controller commit the transaction that `build` makes, as its other components do."""
         controller = self.nodes[node]
         controller.note("commit")
