--- a/ashtray/daemon/server.py
+++ b/ashtray/daemon/server.py
@@ -151,7 +151,7 @@
     def _take(self, take: Callable[[], list[Output]]) -> None:
         """Pass an input to the core and measure how long the core takes.
 
-        `uvloop` does not tell when a turn began (its clock is read anew on each call).  So once the core has used
+        `uvloop` does not tell when a turn began (its clock is read again on each call).  So once the core has used
         half of `TURN_S`, a callback is scheduled that marks the next turn; under light load this hardly ever happens.
         """
         began_s = time.monotonic()
--- a/ashtray/estimates/learned.py
+++ b/ashtray/estimates/learned.py
@@ -45,7 +45,7 @@
 MAX_NAME_LENGTH = 64
 """In characters.  In keys, the rest of a longer name is replaced by a hash of it."""
 CACHE_OBSERVATIONS, CACHE_WEIGHT_CHANGE = 64, 0.06
-"""Cached distributions are computed anew after this many observations, or once the weight of their narrowest level
+"""Cached distributions are computed again after this many observations, or once the weight of their narrowest level
 has changed by this share."""
 SLOW_LOG_FACTOR, SLOW_STANDARD_ERRORS = math.log(1.1), 1.8
 """A machine counts as slow if its logarithmic factor exceeds the first number by the second number of standard
--- a/ashtray/estimates/model.py
+++ b/ashtray/estimates/model.py
@@ -194,7 +194,7 @@
         normal_edges = [self._sigma * step / 4 for step in range(-20, 21)]
         self._edges = sorted({-reach - BIN_WIDTH, *BIN_EDGES, *normal_edges, reach + BIN_WIDTH})
         below = []
-        # Summing the counts anew at each edge took most of the time of this constructor.
+        # Summing all counts again at each edge took most of the time of this constructor.
         cumulative = [0.0, *accumulate(counts)]
         for edge in self._edges:
             position = min(max(edge / BIN_WIDTH + ZERO_OFFSET, 0.0), float(BINS))
--- a/ashtray/estimates/run_observer.py
+++ b/ashtray/estimates/run_observer.py
@@ -15,7 +15,7 @@
 """The states of a task before it runs."""
 MAX_RESUMED = 20_000
 START_DELAY_WEIGHT = 0.05
-"""The share of one observation in the moving average of a class's lead time, the time from placement to start."""
+"""The share of one observation in the moving average of a class's start delay, the time from placement to start."""
 MAX_START_DELAY_US = 300 * SECOND_US
 INITIAL_START_DELAY_US = 5 * SECOND_US
 
--- a/ashtray/placement/placer.py
+++ b/ashtray/placement/placer.py
@@ -397,7 +397,7 @@
         """Return whether another controller has lowered this one's share and should get time to raise its own.
 
         The other controller may raise its own share only by a later write (safety point 8).  Otherwise this
-        controller takes back what is in nobody's share before either can place a task with it, without end.
+        controller takes back what is in no share before either can place a task with it, without end.
         """
         own, before = self.grants.own_share(team), self._own_shares.get(team, (0.0, 0.0))
         lowered = any(own[n] < before[n] - AMOUNT_TOLERANCE for n in (0, 1))
@@ -412,7 +412,7 @@
     def _note_short(self, short: ShortJob) -> None:
         """Remember a job to request a share for: the first ones of its team, up to the first that is not a gang.
 
-        A gang may fit nowhere, so it must not be the only one.  Requests for more jobs moved shares to and fro
+        A gang may fit nowhere, so it must not be the only one.  Requests for more jobs moved shares back and forth
         between controllers that could all use them.
         """
         jobs = self._short_jobs.setdefault(short.job.spec.team, [])
--- a/ashtray/placement/queue_order.py
+++ b/ashtray/placement/queue_order.py
@@ -113,8 +113,8 @@
         age_us = wall_us - job.ready_us
         launch_us = LAUNCH_US + fetch_us(job, cluster_state.types.values())
         run_us = self._job_timing.run_us(job) if done else 0
-        # A time that the job could never meet is not missed.  Otherwise a gang that runs longer than the time stated
-        # for its class goes behind all jobs that come later.
+        # A time that the job could never meet is not missed.  Otherwise a gang that takes longer than the time stated
+        # for its class goes behind all jobs that come for five minutes.
         missed = sum(within < age_us + launch_us for within in waits)
         missed += sum(launch_us + run_us <= within < age_us + launch_us + run_us for within in done)
         return Standing(missed, len(waits) + len(done), age_us > AGED_FACTOR * max([*waits, *done]))
--- a/ashtray/standby/failure_detector.py
+++ b/ashtray/standby/failure_detector.py
@@ -10,7 +10,7 @@
   nothing, since a node without free sockets refuses connections and still sends its own heartbeats.
 - It *suspects* a peer that it doubts and that `CONFIRMATIONS` other live controllers doubt too (all others if there
   are fewer).  This is the indirect probe of SWIM (Das and others, 2002) with messages that are sent anyway.  A
-  controller that is isolated from all others hears of no doubts and suspects nobody.
+  controller that is isolated from all others hears of no doubts and suspects no peer.
 - A peer *cannot read* if its own heartbeats say that it has not read the state service for `UNREADABLE_US`, while
   this controller has.
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -69,7 +69,7 @@
     assert len(peer.heard) <= 61
 
 
-@pytest.mark.parametrize("alike", [False, True])
+@pytest.mark.parametrize("all_upgraded", [False, True])
 def test_groups_grow_with_the_machines_and_their_records_do_not(all_upgraded: bool) -> None:
     limits = Limits(16, 55_000, 32_768, all_upgraded=all_upgraded)
     groups = [math.ceil(number / group_size(KIND, limits)) for number in SIZES]
--- a/tests/test_meetings_kept_reports.py
+++ b/tests/test_meetings_kept_reports.py
@@ -36,11 +36,11 @@
         """Start a controller and record the run times that it learns."""
         super().start_host(host)
         estimates = host.core.worker_manager.job_timing.estimates
-        ran = estimates.add_run
+        add_run = estimates.add_run
 
         def recorded(job: Any, run_us: int, machine: Any) -> Any:
             self.learnt_us.append(run_us)
-            return ran(job, run_us, machine)
+            return add_run(job, run_us, machine)
 
         estimates.add_run = recorded
 
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -873,8 +873,8 @@
     owner = deliver_to_restarted_owner(model, name, report)
     learned: list[int] = []
     estimates = owner.core.worker_manager.job_timing.estimates
-    ran = estimates.add_run
-    estimates.add_run = lambda job, run_us, machine: (learned.append(run_us), ran(job, run_us, machine))
+    add_run = estimates.add_run
+    estimates.add_run = lambda job, run_us, machine: (learned.append(run_us), add_run(job, run_us, machine))
     # The next reports are the machine's own: they say that the tasks run, and later that they have ended.
     assert model.until(lambda: model.all_done(), 60)
     assert all(run_us > 15 * SECOND for run_us in learned), learned
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -224,7 +224,7 @@
         commit = store.commit
 
         def commit_recorded(
-            build: Callable[[], Any], changes: int, urgency: Any, purpose: str, look: Any = None
+            build: Callable[[], Any], writes: int, urgency: Any, purpose: str, refresh: Any = None
         ) -> Any:
             def build_recorded() -> Any:
                 txn = build()
@@ -233,7 +233,7 @@
                     self._purposes[(source, msgspec.msgpack.encode(txn.body()))] = (purpose, builder)
                 return txn
 
-            return commit(build_recorded, changes, urgency, purpose, look)
+            return commit(build_recorded, writes, urgency, purpose, refresh)
 
         store.commit = commit_recorded
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -183,8 +183,8 @@
 
 def test_small_tasks_that_must_leave_cpus_for_gpus_hide_no_capacity_from_tasks_for_gpus():
     # Small tasks that must leave CPUs for free GPUs do not fit, and the plan concluded that larger tasks do not fit
-    # either, so jobs that need GPUs waited.  On the simulated rough day, the served share of the class trotinetas
-    # fell from 0.71 to 0.46.
+    # either, so jobs that need GPUs waited.  On the simulated rough day, the score of the site trotinetas fell from
+    # 0.71 to 0.46.
     cluster_state = ClusterState()
     cluster_state.types = {"gpu": MachineType("gpu", 12.0, 2.0, 72.0, 60.0, 1.0, 4.9, 1.7, 5, ("a",))}
     record = GroupRecord("gpu", "a", {"vm-1": MachineRecord("vm-1:1")})
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -169,16 +169,16 @@
     queue = deque([first])
     while queue and len(reached_from) < max_states:
         world = queue.popleft()
-        here = canonical(world)
+        state = canonical(world)
         for name, after in steps(hosts, world):
-            there = canonical(after)
-            if there in reached_from:
+            next_state = canonical(after)
+            if next_state in reached_from:
                 continue
-            reached_from[there] = (here, name)
+            reached_from[next_state] = (state, name)
             if sum(after.used) > controllers + 1e-6:
                 path = []
-                while there is not None:
-                    there, name = reached_from[there]
+                while next_state is not None:
+                    next_state, name = reached_from[next_state]
                     path.append(name)
                 return len(reached_from), after, path[::-1]
             queue.append(after)
