--- a/tests/test_meetings_quick_boots.py
+++ b/tests/test_meetings_quick_boots.py
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("moment", CRASH_MOMENTS_S)
 @pytest.mark.parametrize("fate", Fate)
 @pytest.mark.parametrize("kind", AFFECTED_KINDS)
-def test_machines_up_at_once_are_rented_once_and_returned_though_a_write_lags_and_the_leader_ends(
+def test_machines_up_at_once_are_rented_once_and_returned_though_a_write_lags_and_the_runner_ends(
     kind: str, fate: Fate, moment: str, hosts: int
 ) -> None:
     model = Model(5, hosts, OperatorSettings(group_size=2))
--- a/tests/test_meetings_team_limits.py
+++ b/tests/test_meetings_team_limits.py
@@ -151,7 +151,7 @@
         ],
     ),
 )
-def test_room_of_what_lingers_is_counted_while_leader_and_owner_change(
+def test_room_of_what_lingers_is_counted_while_runner_and_owner_change(
     fault: str, how: str, hosts: int, order: str
 ) -> None:
     model = all_at_the_limit(91, hosts)
