--- a/tests/test_meetings_load.py
+++ b/tests/test_meetings_load.py
@@ -29,7 +29,7 @@
 from tests.test_meetings_machines import FEW_SEEDS, MeetingModel, places, settle
 
 MAX_TELL_S = 3.0
-"""How long after the completion of its last task a job may not yet be reported as done."""
+"""Within this time after the end of its last task a job has to be reported as done."""
 MAX_WRITE_RPS = 25.0
 """Writes per second that the state service takes in these tests from all controllers together."""
 SHORT_REPORT_S = 0.5
--- a/tests/test_meetings_sockets_looks.py
+++ b/tests/test_meetings_sockets_looks.py
@@ -1,4 +1,4 @@
-"""Users ask all three processes within milliseconds while one is killed, stopped or reads all records anew.
+"""Users ask all three processes within milliseconds while one is killed, stopped or reads all records again.
 
 Meanwhile every process gets raw requests that must be refused, also in the first milliseconds after its start.
 The test is limited to 40 s of wall time; a run takes about half of that.
@@ -190,7 +190,7 @@
     refused: RefusedRequests
     processes: Processes
     reloads: int
-    """How often a controller had to read all records anew."""
+    """How often a controller had to read all records again."""
     recorded: set[str]
     """The jobs in the state service's records at the end."""
 
@@ -208,7 +208,7 @@
 
 
 async def force_reloads(state: CountingState) -> None:
-    """Every 0.4 s, just after a write, make the next controller that asks for changes read all records anew."""
+    """Every 0.4 s, just after a write, make the next controller that asks for changes read all records again."""
     revision = state.revision
     while True:
         await asyncio.sleep(0.4)
@@ -284,7 +284,7 @@
 def test_no_process_answers_something_older_or_accepts_what_must_be_refused(tmp_path: Path):
     result = asyncio.run(asyncio.wait_for(run_scenario(tmp_path), MAX_TEST_S))
     users, refused = result.users, result.refused
-    # The case is reached: each process was killed once and stopped once, and controllers read all records anew.
+    # The case is reached: each process was killed once and stopped once, and controllers read all records again.
     assert Counter(number for number, _ in result.processes.restarts) == dict.fromkeys(range(CONTROLLERS), 2)
     assert result.reloads >= 5
     for number, back_ns in result.processes.restarts:
--- a/tests/test_meetings_transactions.py
+++ b/tests/test_meetings_transactions.py
@@ -197,8 +197,9 @@
     """How many transactions lose their answer."""
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     armed: bool = True
+    """Whether answers are lost now."""
     late_s: tuple[float, float] = (2.0, 12.0)
-    """The range of the delays of late transactions."""
+    """The shortest and the longest delay of a late transaction, in seconds."""
     meetings: list[UnansweredTransaction] = field(default_factory=list)
     before: Callable[[Transaction], None] = lambda transaction: None
     """Called with each transaction before it is carried out."""
@@ -311,7 +312,7 @@
             assert any(unanswered.newer for unanswered in self.meetings), "no newer transaction overtook a late one"
 
 
-# The jobs that run meanwhile
+# The jobs that run while answers are lost
 
 
 FREE = {"crew": "free", "hulls": ["small"]}
@@ -351,7 +352,7 @@
 
 
 def settle(model: Model, seconds: int) -> None:
-    """Run until all jobs have ended, at most so many seconds, and until their records are removed."""
+    """Run until all jobs have ended, but no longer than `seconds`, and then until their records are removed."""
     for _ in range(seconds // 5):
         model.run(5)
         if not any(key.startswith(LIVE) for key in model.state.keys):
