--- a/tests/model.py
+++ b/tests/model.py
@@ -164,18 +164,23 @@
         if host.old:
             settings = settings_for(host.number, len(self.hosts), self.following, self.before.Settings)
             host.core = self.before.Controller(settings, self.before.Knobs(**self._operator_settings_given()), rng)
+            # The version in production has the former names of these components.
+            host.core.worker_manager, host.core.fleet_manager = host.core.desk, host.core.runner
         else:
             settings = settings_for(host.number, len(self.hosts), self.following)
             host.core = Controller(settings, self.operator_settings, rng)
         core = host.core
         core.kernel.strict = True
         # Where a worker is redirected to and which controller places a job are hints: no rule may depend on them.
-        redirect_target = core.worker_manager._redirect_target
+        redirect_name = "_foreman" if host.old else "_redirect_target"
+        redirect_target = getattr(core.worker_manager, redirect_name)
         placing = core.placer if host.old else core.presence
         mine = placing.mine
-        core.worker_manager._redirect_target = lambda *args: (
-            None if self.now < self.roaming_until else redirect_target(*args)
-        )
+
+        def redirect(*args: Any) -> Any:
+            return None if self.now < self.roaming_until else redirect_target(*args)
+
+        setattr(core.worker_manager, redirect_name, redirect)
         placing.mine = lambda job: self.now < self.all_place_until or mine(job)
         self.carry_out(host, host.core.start(*self.clock(host)))
         self._controller_starts(host)
@@ -292,7 +297,8 @@
         """Let a slow controller take one input from its inbox."""
         if host.core is None or host.life != life:
             return
-        host.core.kernel.input_delay_us = host.inbox.input_delay_us(self.now)
+        delay_name = "behind_us" if host.old else "input_delay_us"
+        setattr(host.core.kernel, delay_name, host.inbox.input_delay_us(self.now))
         self.carry_out(host, host.inbox.take(self.now))
         host.busy = False
         if host.inbox:
