--- a/ashtray/fleet/demand.py
+++ b/ashtray/fleet/demand.py
@@ -1,7 +1,7 @@
-"""Computes which machines to rent: those without which tasks would wait longer than the price of a machine is worth.
+"""Computes which machines to rent: those that let tasks start so much earlier that this is worth their price.
 
-A forecast serves the queue on the machines that are present and pending.  A new machine of some kind is called for
-where it would let a task start so much earlier that this is worth the price of the kind.
+A forecast places the queued tasks on present and pending machines.  A machine of a kind is added to the demand where
+it would let a task start so much earlier that this is worth the price of the kind.
 """
 
 from __future__ import annotations
@@ -26,12 +26,19 @@
 from ashtray.placement.rules import MachineCapacity, PlacementRequest
 
 LARGE_PREMIUM = 0.2
-"""A kind whose price exceeds the cheapest by more than this share is rented only when a job is about to be late."""
+"""Limits what is rented for a job that has a latest start time, as a fraction of the cheapest price per task.
+
+A kind whose price per task exceeds the cheapest by more than this fraction is rented only for tasks that would
+otherwise start after that time; any other kind also for tasks that would start in the second half of the time left.
+"""
 MAX_DEMAND = 300
-"""The most machines that one forecast calls for."""
+"""The most machines that one forecast requests."""
 MIN_HEDGES = 2
 HEDGE_DIVISOR = 3
-"""One in this many pending machines of a kind, but at least `MIN_HEDGES`, may be replaced while it is overdue."""
+"""At most 1/`HEDGE_DIVISOR` of the pending machines of a kind are left out of the forecast as overdue.
+
+If `MIN_HEDGES` is more than that, it is the limit.  Replacements are requested for the machines left out.
+"""
 
 
 class Candidate(NamedTuple):
@@ -44,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Threshold:
-    """Calls for a machine of `kind` where a task would start after `start_us` (time of day)."""
+    """If a task would start after `start_us` (time of day, us), a machine of `kind` is worth renting."""
 
     start_us: int
     kind: MachineKind
@@ -52,14 +59,14 @@
 
 @dataclass(frozen=True)
 class TaskSubset:
-    """Tasks of a job that the forecast serves together."""
+    """Tasks of a job that the forecast places together."""
 
     request: PlacementRequest
     tasks: int
 
 
 class DemandForecaster:
-    """Computes the demand for machines, and keeps what the decision to return machines depends on."""
+    """Computes the demand for machines, and keeps `needed` and `cheapest_for_urgent` for other decisions."""
 
     def __init__(
         self,
@@ -80,11 +87,11 @@
         self.needed: set[str] = set()
         """The machines on which the last forecast placed waiting tasks.
 
-        The machines of a gang come up one after the other.  If the first ones were returned as idle before the last
-        one is up, they would never be present together.
+        Machines in `needed` are not returned.  The machines of a gang come up one after the other: if the first ones
+        were returned as idle before the last one is up, they would never be present together.
         """
         self.cheapest_for_urgent: dict[str, MachineKind] = {}
-        """For each job class with an objective for waiting times, the kind that serves it at the lowest price."""
+        """For each job class with an objective for waiting times, the kind with the lowest price per task."""
 
     def compute(self) -> dict[MachineKind, int]:
         """Return how many machines of each kind are to be rented now."""
@@ -114,17 +121,18 @@
         """Add the pending machines to a plan, and return when each of them is expected (time of day, us)."""
         ready_us: dict[str, int] = {}
         pending_by_kind = Counter(pending.kind for pending in self.inventory.pending.values())
-        # Bounds the cost when overdue machines come up after all: about a third more machines than needed.
+        # Limits the excess, if the overdue machines boot after all, to about a third more machines than needed.
         hedges = {kind: max(number // HEDGE_DIVISOR, MIN_HEDGES) for kind, number in pending_by_kind.items()}
         for name, pending in self.inventory.pending.items():
             kind = pending.kind
             machine_type: MachineType | None = self.base.cluster_state.types.get(kind.type)
-            leaving = name in self.inventory.draining or name in self.base.cluster_state.machines
-            if machine_type is None or leaving:
+            draining_or_present = name in self.inventory.draining or name in self.base.cluster_state.machines
+            if machine_type is None or draining_or_present:
                 continue
             remaining_us = self.boot_times.remaining_us(kind, pending.requested_us, self.kernel.now_us)
             if remaining_us is None and hedges[kind] > 0:
-                # Not counted, so the forecast calls for a replacement.  If the machine comes up, it is used, too.
+                # Left out of the forecast, so that it requests a replacement.  If the overdue machine boots after
+                # all, it is used as well.
                 hedges[kind] -= 1
                 continue
             plan.capacities.append(self._empty_machine(name, kind))
@@ -133,10 +141,10 @@
         return ready_us
 
     def _empty_machine(self, name: str, kind: MachineKind) -> MachineCapacity:
-        """Return the free resources of a machine that is not present yet: all of its type's."""
-        spec = self.base.cluster_state.types[kind.type]
+        """Return the free capacity of a machine that is not present yet: all resources of its type are free."""
+        machine_type = self.base.cluster_state.types[kind.type]
         machine = Machine(name, name, kind.type, kind.zone, {"address": "", "spot": kind.spot})
-        return MachineCapacity(machine, spec, spec.cpus, spec.gpus, spec.memory_gb)
+        return MachineCapacity(machine, machine_type, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
     def _split_by_zone(self, request: PlacementRequest, tasks: int) -> list[TaskSubset]:
         """Split the tasks of a job with `spread` by zone; the tasks of any other job are one subset."""
@@ -153,7 +161,7 @@
         return [subset for subset in subsets if subset.tasks > 0]
 
     def _serve(self, job: Job, subset: TaskSubset, forecast: Forecast, demand: dict[MachineKind, int]) -> None:
-        """Place tasks in the forecast, and add the machines that they call for to `demand`."""
+        """Place tasks in the forecast, and add to `demand` the machines that are worth renting for them."""
         request, remaining = subset.request, subset.tasks
         run_us = self.job_timing.run_us(job)
         thresholds = self._thresholds(job, request)
@@ -172,22 +180,25 @@
         forecast.finish_job(request)
 
     def _thresholds(self, job: Job, request: PlacementRequest) -> list[Threshold]:
-        """Return the kinds that may be rented for a job with their thresholds, the cheapest first.
+        """Return one threshold for each kind that may be rented for the job, the cheapest kind first.
 
-        If all tasks of the job must run in one zone and none is placed yet, this chooses the zone.
+        If all tasks of the job must run in one zone and none is placed yet, this sets the request's zone to that of
+        the cheapest kind.
         """
-        suitable = self._candidates(job.spec)
-        cheapest = suitable[0] if suitable else Candidate(0.0, NO_KIND)
-        candidates = [candidate for candidate in suitable if not self.backoff.is_blocked(candidate.kind)]
+        all_candidates = self._candidates(job.spec)
+        cheapest = all_candidates[0] if all_candidates else Candidate(0.0, NO_KIND)
+        available_candidates = [
+            candidate for candidate in all_candidates if not self.backoff.is_blocked(candidate.kind)
+        ]
         if job.spec.job_class in self.job_timing.wait_objectives_s:
             self.cheapest_for_urgent[job.spec.job_class] = cheapest.kind
-        if job.spec.same_zone and request.zone is None and candidates:
-            request.zone = candidates[0].kind.zone
+        if job.spec.same_zone and request.zone is None and available_candidates:
+            request.zone = available_candidates[0].kind.zone
         patience_s = self.job_timing.patience_s(job)
         start_by_us = self.job_timing.latest_start_us(job)
         return [
             self._threshold(candidate, cheapest.price, patience_s, start_by_us)
-            for candidate in candidates
+            for candidate in available_candidates
             if request.zone in (None, candidate.kind.zone) and request.zone_allows(candidate.kind.zone) > 0
         ]
 
@@ -206,10 +217,10 @@
     def _threshold(
         self, candidate: Candidate, cheapest_price: float, patience_s: float, start_by_us: int | None
     ) -> Threshold:
-        """Return from which expected start time on a candidate is worth its price.
+        """Return the threshold of a candidate: it is worth its price if a task would otherwise start later than that.
 
-        `patience_s`: how long the job waits rather than pay the cheapest price once more.  `start_by_us`: when the
-        job has to start to be done in time, if it has an objective for that.
+        `patience_s`: how long the job waits to avoid paying an extra amount equal to the cheapest price.
+        `start_by_us`: when the job has to start to be done in time (time of day, us); None if no objective says so.
         """
         premium = max(candidate.price / cheapest_price - 1.0, 0.0) if cheapest_price else 0.0
         premium_wait_us = int(patience_s * SECOND_US * premium)
@@ -217,8 +228,8 @@
         ready_us = wall_us + self.boot_times.expected_us(candidate.kind)
         start_us = ready_us + premium_wait_us + SECOND_US
         if start_by_us is not None:
-            # While the job can still be done in time it waits for the present machines: booting a machine for one
-            # short task costs more than the task itself.
+            # As long as the job can still finish in time, it waits for present machines, because booting a machine
+            # for one short task costs more than the task itself.
             start_us = max(start_us, start_by_us if premium > LARGE_PREMIUM else (wall_us + start_by_us) // 2)
         return Threshold(start_us, candidate.kind)
 
--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -1,10 +1,10 @@
-"""Sends orders directly to workers, and makes orders void that get no answer.
+"""Sends orders directly to workers, and voids orders that get no answer.
 
 A worker may execute an unanswered order at any later time, as long as it knows no higher token (safety point 4 in
-`docs/design.md`).  Therefore the controller claims the worker with a higher token at once.  The worker learns the
-token from the answer to its next report or, before a cancellation is confirmed, from a direct message that launches
-nothing.  From then on it executes no orders with an older token.  Until a report shows that the worker has the new
-token, no resources on its machine are freed.
+`docs/design.md`).  Therefore, when an order gets no answer, the controller at once claims the worker with a higher
+token.  The worker learns the token from the answer to its next report or, before a cancellation is confirmed, from a
+direct message that contains at most kills.  From then on it executes no orders with an older token.  Until a report
+shows that the worker has the new token, no resources on its machine are freed.
 """
 
 from __future__ import annotations
@@ -20,23 +20,29 @@
 from ashtray.workers.worker import OutstandingOrders, Worker
 
 ANSWER_TIMEOUT_US = 1_500_000
-"""How long an answer to a direct message with orders is waited for."""
+"""Timeout of a direct message with orders."""
 DIRECT_BACKOFF_US = 10 * SECOND_US
-"""For how long after a direct message that failed orders go out in answers to reports instead."""
+"""After a direct message has failed: how long orders are sent only in answers to reports."""
 SETTLE_GRACE_US = 50_000
-"""How long a cancellation waits for answers to outstanding orders before it makes them void."""
+"""How long a cancellation waits for answers to outstanding orders before it voids them."""
 SETTLE_TIMEOUT_US = 250_000
-"""How long a cancellation waits at most until no task of its job can start on the workers that report here."""
+"""The longest time that a cancellation waits until no worker that reports here can start a task of its job.
+
+Also the timeout of the message that announces a token.
+"""
 UNOWNED_TIMEOUT_US = 100_000
-"""How long each answer of a machine that does not report here is waited for."""
+"""Timeout of each call to a machine that does not report here."""
 VOID_TIMEOUT_US = 250_000
-"""How long a cancellation waits at most for the machines that no controller answers for."""
+"""The longest time that a cancellation spends on voiding orders on machines for which no controller has answered."""
 MAX_MACHINES_TO_VOID = 32
-"""How many of these machines are contacted for one cancellation."""
+"""At most this many such machines are contacted per cancellation."""
 
 
 class OrderDelivery:
-    """Sends orders directly to workers, at most one message with orders to each at a time."""
+    """Sends orders directly to workers.
+
+    The caller of `deliver` ensures that a worker is sent at most one message with orders at a time.
+    """
 
     def __init__(
         self,
@@ -45,7 +51,11 @@
         next_token: Callable[[int], int],
         on_answer: Callable[[Worker, Report], None],
     ) -> None:
-        """`next_token` returns a new token above the given one; `on_answer` takes the report in an order's answer."""
+        """Create a delivery for the given workers, by machine name.
+
+        `next_token` returns a new token above the given one.  `on_answer` is called with the report contained in the
+        answer to orders.
+        """
         self.base = base
         self.kernel = base.kernel
         self.workers = workers
@@ -55,7 +65,7 @@
         """Fired when the state of a worker has changed."""
 
     def deliver(self, worker: Worker, orders: list[dict[str, Any]]) -> Coroutine[None]:
-        """Send orders to a worker and process its answer; if there is none, make the orders void."""
+        """Send orders to a worker and process its answer; if there is none, void the orders."""
         report = worker.report
         assert report is not None
         token = worker.token
@@ -67,17 +77,17 @@
         reply: Reply = yield Call(report.address, "POST", "/orders", body, ANSWER_TIMEOUT_US)
         worker.in_flight = False
         if reply.refused or reply.status in (200, 409):
-            # The orders were executed, or never will be.
+            # The worker has executed the orders, or has refused them and never will.
             worker.outstanding = None
         if self._take_answer(worker, reply):
             return
         if not reply.refused and worker.token == token:
-            # Safety point 4: a new token makes the orders void before any task they name is freed or placed again.
+            # Safety point 4: a new token voids the orders before any task they name is freed or placed again.
             self._raise_token(worker)
         worker.direct_backoff_until_us = self.kernel.now_us + DIRECT_BACKOFF_US
 
     def _take_answer(self, worker: Worker, reply: Reply) -> bool:
-        """Process the worker's report if the reply contains one; returns whether it does."""
+        """Process the worker's report if the reply contains one.  Return whether it contained one."""
         report = messages.parse_report(reply.body) if reply.status in (200, 409) else None
         if report is None or report.machine != worker.name:
             return False
@@ -93,9 +103,10 @@
         worker.token_confirmed = False
 
     def _announce_token(self, worker: Worker) -> Coroutine[None]:
-        """Announce its current token to a worker, once for each token.
+        """Send a worker its current token, unless the worker has confirmed it.
 
-        Otherwise a worker that receives nothing would be sent message after message.
+        This is done only once for each token, because a worker that does not receive messages would otherwise be
+        sent one after another.
         """
         report, token = worker.report, worker.token
         if worker.token_confirmed or report is None or worker.announced_token == token:
@@ -109,8 +120,8 @@
     def _kills_for_worker(self, worker: Worker, report: Report) -> list[dict[str, Any]]:
         """Return orders that kill tasks of jobs that are over, both reported tasks and those in outstanding orders.
 
-        Any controller that knows that a job is over may give such orders, even if the machine's record does not have
-        its token.
+        Any controller that knows that a job is over may give such orders, even if the machine's record does not
+        contain that controller's token.
         """
         keys: dict[TaskKey, None] = {key: None for key, seen in report.tasks.items() if seen.state != "ended"}
         if worker.outstanding is not None:
@@ -127,32 +138,32 @@
     def wait_until_launches_void(self, cancelled: Iterable[str]) -> Coroutine[list[str]]:
         """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_TIMEOUT_US` at most.
 
-        Kills are on their way by then.  Orders without an answer within `SETTLE_GRACE_US` are made void by a higher
-        token.  Returns the machines with allocations of these jobs that report here.
+        Orders without an answer within `SETTLE_GRACE_US` are voided by a higher token.  Returns the machines with
+        allocations of these jobs that report here.
         """
         job_ids = frozenset(cancelled)
         names = sorted(set().union(*(self._machines_of(job_id) for job_id in job_ids)))
-        owned = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
+        claimed = [worker for name in names if (worker := self.workers.get(name)) is not None and worker.token]
         until_us = self.kernel.now_us + SETTLE_TIMEOUT_US
-        yield from self._wait_until_none_may_start(owned, job_ids, self.kernel.now_us + SETTLE_GRACE_US)
-        for worker in owned:
+        yield from self._wait_until_none_may_start(claimed, job_ids, self.kernel.now_us + SETTLE_GRACE_US)
+        for worker in claimed:
             if worker.token_confirmed and worker.may_start(job_ids):
                 # Safety point 4: outstanding orders must not start a task after the confirmation.
                 self._raise_token(worker)
             self.kernel.spawn(self._announce_token(worker))
-        yield from self._wait_until_none_may_start(owned, job_ids, until_us)
-        return [worker.name for worker in owned]
+        yield from self._wait_until_none_may_start(claimed, job_ids, until_us)
+        return [worker.name for worker in claimed]
 
     def void_unclaimed_launches(self, job_id: str, settled: set[str]) -> Coroutine[None]:
-        """Make void any orders under way to a cancelled job's machines that no controller answers for.
+        """Void any orders that may still reach the machines of a cancelled job for which no controller has answered.
 
         The owner of such a machine has ended, is stalled, or has not received a report from it yet.  `settled` are
-        the machines that controllers answered for.  Returns after `VOID_TIMEOUT_US` at most.
+        the machines for which controllers have answered.  Returns after `VOID_TIMEOUT_US` at most.
         """
         names = sorted(self._machines_of(job_id) - settled)[:MAX_MACHINES_TO_VOID]
         pending, until_us = set(names), self.kernel.now_us + VOID_TIMEOUT_US
         for name in names:
-            self.kernel.spawn(self._void_on_machine(name, job_id, pending))
+            self.kernel.spawn(self._void_if_unclaimed(name, job_id, pending))
         while pending and self.kernel.now_us < until_us:
             yield Wait(self.worker_updated, until_us - self.kernel.now_us)
 
@@ -160,21 +171,22 @@
         """Return the machines with allocations of a job."""
         return {name for name, _ in self.base.cluster_state.allocations.get(job_id, ())}
 
-    def _void_on_machine(self, name: str, job_id: str, pending: set[str]) -> Coroutine[None]:
-        """Make orders to one machine void if its worker is not claimed here; removes it from `pending` when done."""
+    def _void_if_unclaimed(self, name: str, job_id: str, pending: set[str]) -> Coroutine[None]:
+        """Void orders to one machine if its worker is not claimed here, and remove the machine from `pending`."""
         worker, machine = self.workers.get(name), self.base.cluster_state.machines.get(name)
         if machine is not None and (worker is None or not worker.token):
-            yield from self._void_unowned(machine, job_id)
+            yield from self._void_by_higher_token(machine, job_id)
         pending.discard(name)
         self.kernel.fire(self.worker_updated)
 
-    def _void_unowned(self, machine: Machine, job_id: str) -> Coroutine[None]:
+    def _void_by_higher_token(self, machine: Machine, job_id: str) -> Coroutine[None]:
         """Announce a higher token to a machine that does not report here, unless all its tasks of a job have started.
 
         The controller that it reports to then claims it with a still higher token.
         """
         address = machine.record.address
-        # The answer that refuses this message for its token contains the session, which the record does not.
+        # The worker refuses this message because its token is 0.  The refusal contains the worker's session, which
+        # the machine's record lacks.
         reply: Reply = yield Call(address, "POST", "/orders", messages.orders_body(0, 0, []), UNOWNED_TIMEOUT_US)
         report = messages.parse_report(reply.body) if reply.status in (200, 409) else None
         if report is None or report.machine != machine.name or all_started(machine, job_id, report):
--- a/tests/mutants/handovers.py
+++ b/tests/mutants/handovers.py
@@ -27,8 +27,8 @@
     ),
     "fleet-taken-from-a-live-runner": (
         FLEET_LEASE,
-        "return is_own_host or (first and holder in self.presence.failure_detector.unavailable)",
-        "return is_own_host or first",
+        "return is_own_host or (is_first_successor and holder in self.presence.failure_detector.unavailable)",
+        "return is_own_host or is_first_successor",
     ),
     "a-zone-cut-off-is-renewed-for-ever": (
         WORKER_MANAGER,
--- a/tests/mutants/late_commands.py
+++ b/tests/mutants/late_commands.py
@@ -47,7 +47,7 @@
     ),
     "whoever-answers-is-heard-out": (
         DELIVERY,
-        "return [worker.name for worker in owned]",
+        "return [worker.name for worker in claimed]",
         "return names",
     ),
     "silence-counted-from-the-end-of-a-takeover": (
