--- a/ashtray/workers/order_delivery.py
+++ b/ashtray/workers/order_delivery.py
@@ -138,8 +138,8 @@
     def wait_until_launches_void(self, cancelled: Iterable[str]) -> Coroutine[list[str]]:
         """Wait until no worker that reports here can start a task of these jobs, for `SETTLE_TIMEOUT_US` at most.
 
-        Orders without an answer within `SETTLE_GRACE_US` are voided by a higher token.  Returns the machines with
-        allocations of these jobs that report here.
+        The kills of these jobs' tasks have been sent by then.  Orders without an answer within `SETTLE_GRACE_US` are
+        voided by a higher token.  Returns the machines with allocations of these jobs that report here.
         """
         job_ids = frozenset(cancelled)
         names = sorted(set().union(*(self._machines_of(job_id) for job_id in job_ids)))
