--- a/tests/test_meetings_team_limits.py
+++ b/tests/test_meetings_team_limits.py
@@ -59,12 +59,12 @@
             self.share_changes_us.append(self.now)
         self.at(SECOND // 4, self.compare_records)
 
-    def _room_for(self, job_id: str) -> str | None:
+    def _machine_with_capacity_for(self, job_id: str) -> str | None:
         """Return a machine with free capacity for the job, or None; also None if the second team is at its limit."""
         spec = self.jobs[job_id].spec
         if spec["crew"] == RENDER.name and self._gpus_of_workers() + spec["cards"] > RENDER.gpus_max:
             return None
-        return super()._room_for(job_id)
+        return super()._machine_with_capacity_for(job_id)
 
     def _gpus_of_workers(self) -> float:
         """Return the GPUs of the second team's tasks that workers have, including tasks that do not run yet."""
@@ -121,7 +121,7 @@
 
 @contextmanager
 def check_neglect_after(model: TeamLimits) -> Iterator[None]:
-    """After the block, run until the model would report a job that waits too long beside free capacity."""
+    """After the block, run until the model would report a job that waits too long despite free capacity for it."""
     yield
     model.calm()
     model.run(NEGLECTED_S + SETTLED_S + 2)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -373,7 +373,7 @@
 def test_a_job_that_waits_beside_free_capacity_is_detected(shape):
     model = model_with_service()
     submit_unplaced(model, shape=shape, pieces=2, cpus=1.0)
-    with pytest.raises(RuleBroken, match="neglected: job-90 has waited for 90 s beside free capacity on vm-"):
+    with pytest.raises(RuleBroken, match="neglected: job-90 has waited for 90 s with free capacity on vm-"):
         model.run(110)
 
 
