--- a/tests/model_neglect.py
+++ b/tests/model_neglect.py
@@ -30,7 +30,7 @@
     def _begin_neglect(self) -> None:
         self._waiting_with_capacity: dict[str, WaitingJob] = {}
         self._capacity_since: dict[tuple[str, str], int] = {}
-        """For each waiting job and machine, since when (us) the machine has had free capacity for a task of the job."""
+        """For each waiting job and machine, since when (us) the machine has had capacity for a task of the job."""
         self.job_starts: dict[str, int] = {}
 
     def _check_neglect(self) -> None:
@@ -142,7 +142,7 @@
         return int(min((amount + 1e-6) // need for amount, need in zip(free, needs, strict=True) if need > 0))
 
     def _team_uses(self) -> float:
-        """The CPUs of all tasks of the limited team on machines, including those that are still fetching their image."""
+        """The CPUs of all tasks of the limited team on machines, including tasks still fetching their image."""
         return sum(
             self.jobs[key[0]].spec["cpus"]
             for worker in self.workers.values()
