--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -1,4 +1,4 @@
-"""Safety points that generated faults seldom exercise, each tested directly."""
+"""Tests of safety points (`docs/design.md`) that generated faults seldom exercise, each tested directly."""
 
 import msgspec
 import pytest
@@ -15,10 +15,10 @@
 from tests.model import CANCEL_S, LEASE_S, Model, submission
 
 
-def fold(record_token: int, own_token: int, proves_absence: bool):
-    """Fold an empty report of a machine whose record has a task of a job that is over; returns its allocations then.
+def fold_empty_report(record_token: int, own_token: int, proves_absence: bool):
+    """Fold an empty report of a machine whose record contains a task of an ended job.
 
-    None means that there is nothing to write.
+    Returns the machine's allocations after the fold, or None if there is nothing to write.
     """
     cluster_state = ClusterState()
     allocation = AllocationRecord("job-1", 1, "0", "crew", 1.0, 0.0, 1.0, 0)
@@ -33,15 +33,15 @@
 
 
 def test_a_task_missing_from_the_report_to_its_owner_is_freed():
-    assert fold(record_token=7, own_token=7, proves_absence=True) == []
+    assert fold_empty_report(record_token=7, own_token=7, proves_absence=True) == []
 
 
 def test_absence_proves_nothing_while_orders_are_on_their_way():
-    assert fold(record_token=7, own_token=7, proves_absence=False) is None
+    assert fold_empty_report(record_token=7, own_token=7, proves_absence=False) is None
 
 
 def test_absence_proves_nothing_once_a_later_owner_has_recorded_its_token():
-    assert fold(record_token=8, own_token=7, proves_absence=True) is None
+    assert fold_empty_report(record_token=8, own_token=7, proves_absence=True) is None
 
 
 def model_with_running_service(seed: int = 5) -> Model:
@@ -73,7 +73,7 @@
 def test_an_order_without_an_answer_voids_the_token():
     model = model_with_running_service()
     name = next(iter(model.workers))
-    # Orders are held up for 20 s, and the job is cancelled, so the kill gets no answer.
+    # Orders to the machine are delayed by 20 s, so the kill sent for the cancellation gets no answer in time.
     model.held_orders[name] = model.now + 20_000_000
     before = max(w.token for w in owners(model, name))
     model.cancel("job-0")
@@ -158,7 +158,8 @@
     model.cut("c0", "state", 60, False)
     for peer in range(1, 3 - peers_in_reach):
         model.cut("c0", f"c{peer}", 60, False)
-    # Up to the bound, short outages kill no tasks.  After it, a cancellation confirmed elsewhere could be missed.
+    # Until `CANCEL_S - LEASE_S` leases are renewed, so that short outages kill no tasks.  After that, a cancellation
+    # confirmed by another controller could be missed.
     model.run(CANCEL_S - LEASE_S - 3)
     assert renews(model, 0)
     model.run(3)
@@ -170,7 +171,7 @@
     model.cut("c0", "state", 200, False)
     model.run(3 * CANCEL_S)
     assert renews(model, 0)
-    # A single peer that cannot be reached may have confirmed a cancellation since.
+    # An unreachable peer may have confirmed a cancellation since it was last heard.
     model.cut("c0", "c2", 200, False)
     model.run(CANCEL_S - LEASE_S - 4)
     assert renews(model, 0)
@@ -181,22 +182,22 @@
 def test_a_machine_that_two_controllers_adopt_at_once_gets_into_one_group():
     state = State()
     reports = {"vm-1": Report("vm-1", "vm-1:1", "small", "a", False, 1, 1, 0, None, {})}
-    late, later = ClusterState(), ClusterState()
+    first_view, second_view = ClusterState(), ClusterState()
     limits = Limits(16, 60_000, 32_768)
     # The second controller knows a group that the first does not, so they choose different groups.
     other = msgspec.to_builtins(GroupRecord("small", "a", {"vm-0": MachineRecord("vm-0:1")}))
-    later.put(GROUP + "other", other, 1)
+    second_view.put(GROUP + "other", other, 1)
     state.keys[GROUP + "other"] = (other, 1, None)
     answers = []
-    for cluster_state in (late, later):
-        txn, taken = adoption(cluster_state, reports, None, limits)
-        assert taken == ["vm-1"]
+    for cluster_state in (first_view, second_view):
+        txn, adopted = adoption(cluster_state, reports, None, limits)
+        assert adopted == ["vm-1"]
         answers.append(state.handle(0, "POST", "/txn", txn.body())[0])
     assert answers == [200, 409]
 
 
 def test_nothing_is_placed_on_records_read_at_different_moments():
-    # A job that was read later than the groups with its tasks would seem to have no tasks placed.
+    # If a job is read later than the groups that hold its tasks, none of its tasks would seem to be placed.
     model = model_with_running_service()
     follower = model.hosts[0].core.follower
     follower.loaded = follower._paged = False
@@ -204,19 +205,22 @@
     reply = None
     while True:
         try:
-            wish = load.send(reply)
+            request = load.send(reply)
         except StopIteration as stop:
             assert stop.value is True
             break
-        if isinstance(wish, Call):
-            reply = Reply(*model.state.handle(model.now, wish.method, wish.path, wish.body))
+        if isinstance(request, Call):
+            reply = Reply(*model.state.handle(model.now, request.method, request.path, request.body))
         else:
             reply = True
     assert not follower.loaded
 
 
 def tasks_that_save_after_notice(kind: str, spot_notice_s: float = 9.0) -> tuple[Model, set[int]]:
-    """Run a job of three tasks on three machines, give notice to one machine, and return which tasks save."""
+    """Run a job of three tasks on three machines, give notice to one machine, and run for 12 s more.
+
+    Returns the model and the numbers of the tasks that save.
+    """
     model = Model(21)
     model.checks()
     model.run(3)
