--- a/tests/test_inbox.py
+++ b/tests/test_inbox.py
@@ -1,4 +1,7 @@
-"""Tests of the input queue: what an overloaded controller takes first and refuses, and that nothing is lost."""
+"""Tests of the input queue of a controller that is overloaded.
+
+They check in which order it processes inputs, which ones it refuses, and that every input is answered.
+"""
 
 import asyncio
 from types import SimpleNamespace
@@ -26,6 +29,7 @@
 
 
 INPUT = st.tuples(st.sampled_from(list(Rank)), st.integers(0, 3 * SECOND), st.integers(0, 5 * SECOND), st.booleans())
+"""An input: its rank, the pause before it (us), its timeout (us), and whether one input is taken after it arrives."""
 
 
 @given(st.lists(INPUT, max_size=40), st.integers(1, SECOND))
@@ -67,7 +71,7 @@
         put(inbox, 0, number, Rank.DUTIES)
     taken = [inbox.take(0)[0].request_id for _ in range(40)]
     assert sum(number < MAX_WAITING_USERS for number in taken) == 40 // USERS_EVERY
-    # An input without a refusal is taken however late it is.
+    # An input without a `refuse` callback is processed however late it is.
     inbox.put(0, Rank.DUTIES, lambda: answered(5000, 200))
     while inbox:
         last = inbox.take(3600 * SECOND)
@@ -92,7 +96,8 @@
 
 
 def test_the_daemon_takes_inputs_at_once_until_its_turn_is_used_up(monkeypatch):
-    # This runs on uvloop, as the service does: its clock advances within a turn of the event loop.
+    # This runs on uvloop, as the service does.  uvloop reads its clock again on each call, so the clock does not tell
+    # the daemon when a turn of the event loop began.
     taken, calls, now_s = [], [], [100.0]
     clock = SimpleNamespace(monotonic=lambda: now_s[0], monotonic_ns=lambda: int(now_s[0] * 1e9), time_ns=lambda: 0)
     monkeypatch.setattr(server, "time", clock)
@@ -110,11 +115,12 @@
             now_s[0] += spent_s
             return answered(number, 200)
 
-        # The input takes more than half a turn, and then the event loop runs its next iteration.
+        # The input uses more than half of a turn, so a callback marks the start of the next turn.
         daemon._input(Rank.USERS, lambda: busy(0, 0.6 * TURN_S))
         await asyncio.sleep(0.001)
         daemon._input(Rank.USERS, lambda: busy(1, 0.6 * TURN_S))
-        # The turn is used up: inputs that arrive now wait, and are taken by rank.
+        # The second and third input together use up the turn, so inputs that arrive after them wait and are processed
+        # by rank.
         daemon._input(Rank.USERS, lambda: busy(2, 0.6 * TURN_S))
         assert calls == [0, 1, 2]
         for number, rank in ((3, Rank.USERS), (4, Rank.DUTIES), (5, Rank.LEASES)):
@@ -122,7 +128,7 @@
         assert calls == [0, 1, 2]
         while daemon._inbox:
             await asyncio.sleep(0.001)
-        # The daemon keeps up again, so an input is taken at once.
+        # The inbox is empty again, so an input is processed at once.
         daemon._input(Rank.USERS, lambda: busy(6, 0.0))
         assert calls[-1] == 6
 
@@ -180,8 +186,8 @@
         model.run(2)
     assert sum(host.inbox.refused for host in model.hosts) > 30
     assert all(model.workers[name].session == n for name, n in sessions.items() if name in model.workers)
-    # Requests that cannot be served are refused.  When inputs were taken in the order of arrival, a quarter of all
-    # queries got no answer in this time.
+    # Requests that cannot be processed in time are refused (503).  When inputs were processed in order of arrival, a
+    # quarter of all queries got no answer before their timeout.
     assert statuses.count(0) < 100 < statuses.count(503)
     for host in model.hosts:
         host.slow_us = 0
