--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,7 @@
-"""Upgrades with both versions side by side on the same data, pipelines, and limits lowered without notice."""
+"""Tests of upgrades, of job pipelines, and of state-service limits that are lowered without notice.
+
+During an upgrade both versions work on the same data.  A pipeline consists of jobs with dependencies.
+"""
 
 import os
 
@@ -13,17 +16,19 @@
 
 SECOND = 1_000_000
 RUNS = int(os.environ.get("ASHTRAY_MODEL_RUNS", "30"))
+"""The number of generated examples."""
 LOWER_LIMITS = st.sampled_from([(2.0, 5), (2.0, 6), (1.5, 5), (4.0, 4)])
+"""The limits of the state service after they are lowered: value size in KiB, operations per transaction."""
 PIPELINE = st.lists(
     st.tuples(JOB.filter(lambda job: job["shape"] != "service"), st.sets(st.integers(1, 4), max_size=3)),
     min_size=2,
     max_size=8,
 )
-"""Jobs and, for each, how many positions before it the jobs are that it waits on."""
+"""Each job with the offsets, counted backwards in the list, of the jobs that it depends on."""
 
 
 def pipeline(model: Model, jobs: list[tuple], first: int, at_s: float, pace_s: float) -> None:
-    """Submit the jobs of a pipeline, each once the jobs that it waits on are accepted."""
+    """Submit the jobs in order; each is submitted after the jobs it depends on have been accepted."""
 
     def submit(n: int) -> None:
         spec, back = jobs[n]
@@ -68,14 +73,15 @@
 def before():
     package = production.load()
     if package is None:
-        pytest.skip("the history of the version in production is not there")
+        pytest.skip("git cannot provide the sources of the production version")
     return package
 
 
 def upgrade(model: Model, order: list[int], every_s: float, crashes: list[tuple[float, int]]) -> float:
-    """Restart the controllers with the new version, in some order, after crashes that restart them with the old one.
+    """Restart the controllers with the new version in the given order, from 20 s on.
 
-    Returns the time in seconds at which all are upgraded.
+    `crashes` restart them at other times with the version that they run at that time.  Returns the time in seconds
+    by which all controllers run the new version.
     """
 
     def restart_upgraded(number: int) -> None:
