--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -1,4 +1,4 @@
-"""Tests of rules that the users added later, such as that no job is forgotten, and of the faults added with them."""
+"""Tests of later requirements (for example that no job is forgotten) and of the kinds of faults added with them."""
 
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
@@ -98,7 +98,8 @@
     model.deaf[name] = (model.now + 300 * SECOND, held)
     changes = model.state.revision
     model.run(5 * LEASE_S)
-    # All the time, one controller after the other heard it; it is still returned like a silent machine.
+    # Its reports reached one controller after another all along; it is returned all the same, like a machine that
+    # sends none.
     assert name not in model.workers
     # A new token for each report would have caused a stream of writes.
     assert model.state.revision - changes < 60
@@ -110,7 +111,7 @@
 def test_a_machine_that_receives_again_within_its_lease_is_kept(seed):
     model, _ = at_work(seed)
     deaf_until_us = model.now + int(0.6 * LEASE_S * SECOND)
-    # Choose a machine that has work for longer than it is deaf: an idle one would be returned.
+    # Choose a machine whose tasks run for longer than the machine receives nothing: an idle one would be returned.
     busy = [
         name
         for name, worker in sorted(model.workers.items())
@@ -140,7 +141,7 @@
         model.copy_arrives(name, host.number, worker.report())
         heard.append(worker_manager.workers[name].heard_us)
         model.run(1)
-    # At the first report, the token may still be on its way.
+    # At the first report the token may not have reached the machine yet, so that report counts; later ones do not.
     assert len(set(heard)) == 1
 
 
@@ -156,8 +157,8 @@
     model.workers[name].tick += 1
     copy = model.workers[name].report()
     sent = copy["shift"], copy["tick"]
-    # The machine reports to changing controllers until each has heard it after the copy was made: a controller that
-    # has not cannot recognize the copy.
+    # The machine reports to changing controllers until every controller has received a report newer than the copy.
+    # A controller that has not received one cannot recognize the copy as old.
     model.roaming_until = model.now + 60 * SECOND
     for _ in range(120):
         model.run(0.5)
@@ -166,7 +167,7 @@
             break
     model.roaming_until = 0
     model.run(3 * REPORT_S)
-    # At least its owner has heard a report with a token that it issued itself.
+    # At least the controller that owns the machine has received a report with the token that this controller issued.
     assert any(host.core.worker_manager.workers[name].token_confirmed for host in model.hosts)
     for host in model.hosts:
         known = host.core.worker_manager.workers[name]
@@ -174,7 +175,7 @@
         before = known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest
         model.copy_arrives(name, host.number, copy)
         assert (known.report, known.heard_us, known.token, dict(known.running_since_us), known.newest) == before
-    # A machine that was deleted since is not adopted again, either.
+    # A machine that has been deleted in the meantime is not adopted again.
     model.cloud.end(model.now, name, "deleted")
     model.run(60)
     machines = len(model.hosts[0].core.cluster_state.machines)
@@ -242,7 +243,8 @@
     assert all(up(model, n) == 200 for n in range(3) if n != number)
     model.run(3.5)
     now = model.hosts[0].core.kernel.now_us
-    # Otherwise the workers would stay for 11 s, and the ends of their tasks would remain unknown.
+    # Without the redirect the workers would stay with the cut-off controller for 11 s, and the ends of their tasks
+    # would stay unknown.
     late = [us for us in model.hosts[number].core.worker_manager.heard_us().values() if us > now - SECOND]
     assert not late
     # No machine lost its lease.
@@ -275,7 +277,7 @@
     model = Model(seed, 3, OperatorSettings(group_size=2))
     model.checks()
     for host in model.hosts:
-        # The counter as it is after many handovers.
+        # The token counter, set to a value that it has after many handovers.
         host.core.worker_manager._counter = 50
     model.run(3)
     # Only one machine, so that no other report tells the controllers about high tokens.
@@ -298,16 +300,16 @@
     model = Model(5, 3)
     model.checks()
     for host in model.hosts:
-        # As if the settings stated times for some classes, but for none of these jobs.
+        # As if the settings had time objectives for some job classes, but for none of these.
         host.core.placer.job_timing._all_timed = False
     model.run(3)
-    # The fleet of twelve machines keeps capacity for only two more tasks.
+    # After this service the fleet (twelve machines) has capacity for only two more tasks.
     model.submit(submission("job-0", shape="service", pieces=22, crew="free", hulls=["small"], urgency="urgent"))
     model.run(25)
     idle = {"crew": "free", "hulls": ["small"], "urgency": "idle", "expect_s": 20.0}
     cluster_state = model.hosts[0].core.cluster_state
     for n in range(2, 60):
-        # The third job finds no free capacity.
+        # The third job, job-4, finds no free capacity.  The fourth is job-1, the largest.
         job = submission(f"job-{n if n != 5 else 1}", pieces=1 if n != 5 else 40, **idle)
         model.at((n - 2) * SECOND, lambda job=job: model.submit(job))
     for _ in range(300):
@@ -315,7 +317,7 @@
         if cluster_state.placed("job-1"):
             break
     assert len({name for name, _ in cluster_state.allocations["job-1"]}) == 1
-    # Smaller jobs, which go first by remaining work, still wait.
+    # Smaller jobs, which the order by remaining work puts first, still wait.
     assert set(cluster_state.waiting()) - {"job-1"}
 
 
@@ -335,25 +337,25 @@
 
 @pytest.mark.parametrize("seed", [3, 4])
 @pytest.mark.parametrize(
-    "trouble",
+    "slow_down",
     [
         lambda model: slow(model, (0,), 60),
         lambda model: slow(model, (0, 1, 2), 15),
         lambda model: slow(model, (0, 1, 2), 130),
         lambda model: stall(model, 1, 6),
     ],
-    ids=["one at a fraction of its speed", "all slower", "all far too slow", "one stands still for 3 s every 10 s"],
+    ids=["one at a fraction of its speed", "all slower", "all far too slow", "one is stalled for 3 s every 10 s"],
 )
-def test_slow_controllers_lose_no_lease_and_no_job(seed, trouble):
+def test_slow_controllers_lose_no_lease_and_no_job(seed, slow_down):
     model, _ = at_work(seed)
     sessions = {name: worker.session for name, worker in model.workers.items()}
     before = model.state.revision
-    trouble(model)
+    slow_down(model)
     for n in range(20, 50):
         model.submit(submission(f"job-{n}", pieces=3, crew="free", hulls=["small"]))
         model.run(2)
     assert all(model.workers[name].session == session for name, session in sessions.items() if name in model.workers)
-    # Duties that move to and fro between controllers would write far more than the jobs need.
+    # If duties moved back and forth between controllers, there would be far more writes than the jobs need.
     assert model.state.revision - before < 30 * 12
     slow(model, (0, 1, 2), 0)
     model.calm()
