--- a/ashtray/config/operators.py
+++ b/ashtray/config/operators.py
@@ -134,7 +134,7 @@
     return f"line {line}, column {at - text.rfind(chr(10), 0, at)}"
 
 
-MIN_TOKEN_SIZE = 16
+MIN_TOKEN_LEN = 16
 """The least length of the operators' bearer token, in characters."""
 
 
@@ -148,9 +148,9 @@
         raise SettingsError(f"operators-token: {operator_settings.token_file}: {error.strerror or error}") from None
     except UnicodeDecodeError:
         raise SettingsError(f"operators-token: {operator_settings.token_file}: not ASCII text") from None
-    if len(token) < MIN_TOKEN_SIZE or len(token.split()) != 1:
+    if len(token) < MIN_TOKEN_LEN or len(token.split()) != 1:
         raise SettingsError(
-            f"operators-token: {operator_settings.token_file}: expected one word, {MIN_TOKEN_SIZE} characters or more"
+            f"operators-token: {operator_settings.token_file}: expected one word, at least {MIN_TOKEN_LEN} characters"
         )
     return token
 
--- a/tools/accept.py
+++ b/tools/accept.py
@@ -1,30 +1,39 @@
-"""Play the acceptance: sites of other sizes, processes that are back at once, days of our own; one table.
+"""Run the acceptance days (other site sizes, quick process restarts, days of this repository) and print one table.
 
     python tools/accept.py --bench PATH/fleetbench --sites A.toml B.toml --set short [--jobs 6] [--table FILE]
     python tools/accept.py --reports REPORT [REPORT ...]
 
-The matrix is `tools/days/acceptance.toml`: each row names a day (a standard one, or a file beside the matrix), the
-sets that it belongs to, and what is changed in a copy of the site: `size` (machines, limits, work and the machines
-that trouble hits, times a factor), `work` (the work alone), `back_s` (how soon an ended process is started again),
-`zones`, `limits` (teams' limits times a factor), `changes` (of the state service, times a factor), `classes` (text
-that is added to the site: teams and classes of jobs).  In days and classes `@first` stands for the site's most urgent
-class, `@last` for its least urgent one, `@team` for the team of that, `@hull` for its machine type with GPUs,
-`@nodes` for the number of its controllers, `@zone` for its first zone.
-
-What was played is kept in `--dir` under a name that holds the sources, the row, the site and the seed: called again,
-the tool goes on where it was interrupted.  Of each day the table has the rules broken, processes that ended by
-themselves, time to play, the most memory and connections of a process against what the site gives, the share of
-submissions accepted, and for each class and team the jobs that came, were started and done, for classes also the
-tasks of jobs that were done.  A class or team under `--floor` by done jobs fails the day; one under `--aim` by jobs
-is marked.  Of a team the report knows what was started only; it is done as its classes are.
-
-Of the largest jobs of a class, by what its log lines say, half must be done, and half begin within four minutes: an
-array with its first task's place, a gang with its first portion's, mostly all of it.  The users do not say which are
-the largest: the top tenth and the top quarter are looked at, and the worse of both counts.  A job that came less than
-four minutes before the day's last line, and has not begun, is not counted as one that began late.
-
-A job that its user cancels cannot be done: the log's lines tell which were cancelled, and those are not owed.  One
-that was done all the same is, and so is one that had waited for four minutes by then.  Without a log all are owed.
+The matrix is `tools/days/acceptance.toml`.  Each row names a day (a standard day, or a file beside the matrix), the
+sets that it belongs to, and what is changed in a copy of the site:
+
+  size     a factor for machines, limits, work, and the machines that faults hit
+  work     a factor for the work alone
+  back_s   how soon an ended process is started again, in seconds
+  zones    the zones among which machines are divided
+  limits   a factor for the limits of teams
+  changes  a factor for the writes per second of the state service
+  classes  text that is added to the site: teams and job classes
+
+In days and classes `@first` stands for the site's most urgent job class, `@last` for its least urgent class, `@team`
+for the team of that class, `@hull` for its machine type with GPUs, `@nodes` for the number of its controllers, and
+`@zone` for its first zone.
+
+Results are kept in `--dir` under a name made of the version of the sources, the row, the site and the seed: if the
+tool is interrupted and called again, it continues with the days that are missing.  For each day the table has the
+broken rules, processes that crashed, the time that the run took, the highest memory and connection count of a process
+beside the site's limit, and the share of submissions that were accepted.  For each job class and team it has the jobs
+submitted, started and done, and for classes the tasks of jobs that were done.  A class or team whose share of done
+jobs is under `--floor` fails the day; a class under `--aim` is marked.  For a team the report counts started jobs
+only, so a team is judged by these.
+
+Of the largest jobs of a class, as read from the log lines, half must be done, and half must begin within four
+minutes.  An array begins when its first task is placed, a gang when its first part is placed, which is mostly the
+whole gang.  Users do not state which jobs are the largest, so both the top tenth and the top quarter are checked, and
+the worse result counts.  A job that has not begun, and was submitted less than four minutes before the day's last log
+line, does not count as late.
+
+A job that its user cancels is not expected to be done; the log lines tell which jobs were cancelled.  It counts all
+the same if it was done, or if it had waited for four minutes when it was cancelled.  Without a log every job counts.
 
 Exit codes: 0 every day passed, 1 one failed, 2 the command line or a file cannot be used.
 """
@@ -51,12 +60,12 @@
 DONE = re.compile(r"INFO (job-\d+) is done$")
 CANCELLED = re.compile(r"INFO (job-\d+) cancelled$")
 BEGIN_S = 240.0
-"""The largest jobs of a class are to begin within that."""
+"""Half of the largest jobs of a class must begin within this time after their submission."""
 LARGEST = (0.1, 0.25)
-"""What the largest of a class may be: these parts of its jobs, by tasks, with all that are as large."""
+"""The shares of a class's jobs, by number of tasks, that are checked as its largest; jobs of equal size are added."""
 PLAYED = re.compile(r"to play it took ([\d.]+) s for the world, ([\d.]+) s in .* and ([\d.]+) s in the kernel")
 SECTION = re.compile(r"\[+([\w.]+)\]+\s*$")
-SCALED = {  # the numbers of a site that grow with its size
+SCALED = {  # the numbers of a site that scale with its size, by section
     "capacity": ("count", "spot"),
     "teams": ("gpus", "gpus_max", "cpus", "cpus_max"),
     "jobs": ("initial",),
@@ -65,13 +74,13 @@
 
 @dataclass
 class Row:
-    """One line of the matrix."""
+    """One row of the matrix."""
 
     name: str
     day: str
     sets: list[str] = field(default_factory=list)
     site: str = ""
-    """A part of the names of the sites that it is played on."""
+    """Text that the name of a site's file must contain for the row to run on it."""
     size: float = 1.0
     work: float = 1.0
     back_s: float | None = None
@@ -80,12 +89,12 @@
     changes: float = 1.0
     classes: str = ""
     seeds: list[int] = field(default_factory=lambda: [0])
-    """0: the day's own."""
+    """0: the seed that the day itself names."""
 
 
 @dataclass
 class Part:
-    """A class of jobs, or a team, on one day."""
+    """The results of a job class or a team on one day, in jobs and tasks."""
 
     name: str
     jobs: int
@@ -94,12 +103,12 @@
     tasks: int = 0
     tasks_done: int | None = None
     called_off: int = 0
-    """Of the jobs: those that their users cancelled, that were not done, and that had not waited too long before."""
+    """Jobs that their users cancelled, that were not done, and that had not waited for `BEGIN_S` before."""
     done_by_log: int = 0
-    """By the log's lines alone.  A report counts a job as done that was cancelled as its last task ended."""
+    """Jobs done by the log lines.  The report also counts a job that was cancelled as its last task ended."""
 
     def share(self) -> float:
-        """The share, of the jobs that were not called off, that was done or, where ends are not counted, started."""
+        """Return the share of jobs, without those called off, that were done (for teams: started), from 0 to 1."""
         if self.called_off:
             owed = self.jobs - self.called_off
             return self.done_by_log / owed if owed else 1.0
@@ -107,8 +116,8 @@
 
 
 @dataclass
-class Played:
-    """What the report of one day says."""
+class DayResult:
+    """The results of one day, from its report and log."""
 
     title: str
     day: str
@@ -124,7 +133,7 @@
     fault: str | None = None
 
     def failed(self, floor: float) -> list[str]:
-        """Why the day fails, if it does."""
+        """Return the reasons why the day fails; none if it passes.  `floor` is the least share of each part."""
         found = [f"{part.name} {part.share():.2f}" for part in self.parts if part.share() < floor]
         found += self.rules
         if self.ended:
@@ -132,8 +141,8 @@
         return [*found, self.fault] if self.fault else found
 
 
-def words(site: dict[str, Any]) -> dict[str, str]:
-    """What stands for the site's own names in days and classes."""
+def placeholders(site: dict[str, Any]) -> dict[str, str]:
+    """Return the site's own name for each placeholder of days and classes."""
     order = ["prod", "high", "urgent", "normal", "standard", "low", "idle"]
     classes = sorted(site["jobs"], key=lambda job: order.index(job["priority"]))
     gpus = [kind["name"] for kind in site["machine_types"] if kind.get("gpus")]
@@ -149,15 +158,15 @@
     }
 
 
-def replaced(text: str, site: str) -> str:
-    """A text with the names of the site, whose file's text is given."""
-    for word, name in words(tomllib.loads(site)).items():
+def fill_placeholders(text: str, site: str) -> str:
+    """Replace the placeholders in a text by the names of a site; `site` is the text of its file."""
+    for word, name in placeholders(tomllib.loads(site)).items():
         text = text.replace(word, name)
     return text
 
 
 def scaled_machines(text: str, size: float) -> str:
-    """The machines that trouble hits, in proportion."""
+    """Scale the number of machines that the faults in a text hit; at least one machine remains."""
 
     def grown(found: re.Match[str]) -> str:
         return f"{found[1]}{max(round(int(found[2]) * size), 1)}"
@@ -166,7 +175,7 @@
 
 
 def site_text(text: str, row: Row) -> str:
-    """A copy of a site as a row wants it; what the row does not name stays as it is."""
+    """Return the text of a site changed as a row says, except for its zones of machines."""
     section, lines = "", []
     factors = {"capacity": row.size, "teams": row.size * row.limits, "jobs": row.size * row.work}
     for line in text.splitlines():
@@ -187,11 +196,11 @@
         elif section == "day":
             line = scaled_machines(line, row.size)
         lines.append(line)
-    return "\n".join([*lines, replaced(row.classes, text)]) + "\n"
+    return "\n".join([*lines, fill_placeholders(row.classes, text)]) + "\n"
 
 
 def spread_zones(text: str, zones: list[str]) -> str:
-    """A site's machines divided among zones."""
+    """Return the text of a site with its machines divided evenly among zones."""
     blocks = re.split(r"(?m)^(?=\[)", text)
     out = []
     for block in blocks:
@@ -204,8 +213,8 @@
     return "".join(out)
 
 
-def make(site: Path, row: Row, folder: Path) -> tuple[Path, str]:
-    """Write a row's copy of a site; the copy and the day to play on it."""
+def write_site_copy(site: Path, row: Row, folder: Path) -> tuple[Path, str]:
+    """Write a row's copy of a site; return the path of the copy, and the name or path of the day to run on it."""
     folder.mkdir(parents=True, exist_ok=True)
     text = site.read_text(encoding="utf-8")
     copy = folder / site.name
@@ -216,12 +225,12 @@
         return copy, row.day
     day = scaled_machines((MATRIX.parent / row.day).read_text(encoding="utf-8"), row.size)
     path = folder / row.day
-    path.write_text(replaced(day, text), encoding="utf-8")
+    path.write_text(fill_placeholders(day, text), encoding="utf-8")
     return copy, str(path)
 
 
-def read(title: str, report: Path, log: Path | None, site: dict[str, Any] | None) -> Played:
-    """What a day's report, and the log lines that were printed with it, say."""
+def read_results(title: str, report: Path, log: Path | None, site: dict[str, Any] | None) -> DayResult:
+    """Read a day's results from its report and from the log lines that were printed with it, if there are any."""
     data = json.loads(report.read_text(encoding="utf-8"))
     tasks: dict[str, tuple[int, str]] = {}
     done: set[str] = set()
@@ -242,19 +251,19 @@
             done.add(found[1])
         elif found := CANCELLED.search(line):
             cancelled_s.setdefault(found[1], last_s)
-    off = called_off(cancelled_s, done, came_s, begun_s)
+    off = jobs_called_off(cancelled_s, done, came_s, begun_s)
     parts = []
     for name, row in data["classes"].items():
         if row["jobs"]:
             known = [tasks[job][0] for job in done if job in tasks and tasks[job][1] == name]
-            # Of a version that does not say of small jobs that they are done nothing is known by tasks.
+            # Some versions do not log that small jobs are done: then the tasks that were done are unknown.
             by_tasks = sum(known) if tasks and len(known) >= 0.8 * row["done"] else None
             of_class = sum(tasks[job][1] == name for job in off)
             parts.append(
                 Part(name, row["jobs"], row["started"], row["done"], row["tasks"], by_tasks, of_class, len(known))
             )
             sizes = {job: n for job, (n, of) in tasks.items() if of == name and job not in off}
-            parts += largest(name, sizes, came_s, begun_s, done, last_s)
+            parts += largest_jobs(name, sizes, came_s, begun_s, done, last_s)
     for name, row in data["teams"].items():
         if row["jobs"]:
             parts.append(Part(f"team {name}", row["jobs"], row["started"], None))
@@ -263,7 +272,7 @@
     given = (site or {}).get("nodes", {})
     figure = re.search(rf"(?m)^{re.escape(data['scenario'])}\s+\d+\s+(\d\.\d+)", printed)
     played = PLAYED.search(printed)
-    return Played(
+    return DayResult(
         title,
         f"{data['scenario']} {data['seed']}",
         data["machines"],
@@ -278,10 +287,10 @@
     )
 
 
-def called_off(
+def jobs_called_off(
     cancelled_s: dict[str, float], done: set[str], came_s: dict[str, float], begun_s: dict[str, float]
 ) -> set[str]:
-    """The jobs that nobody is owed: cancelled, not done, and not left waiting for as long as the largest may be."""
+    """Return the jobs that need not be done: cancelled, not done, and not left waiting for `BEGIN_S` before."""
     return {
         job
         for job, at_s in cancelled_s.items()
@@ -289,7 +298,7 @@
     }
 
 
-def largest(
+def largest_jobs(
     name: str,
     tasks: dict[str, int],
     came_s: dict[str, float],
@@ -297,7 +306,7 @@
     done: set[str],
     last_s: float,
 ) -> list[Part]:
-    """What became of a class's largest jobs: begun in time, and done, each for the worse of the two readings."""
+    """Return how many of a class's largest jobs began in time and were done, for the worse share of `LARGEST`."""
     begun, ended = [], []
     for part in LARGEST if tasks else ():
         sizes = sorted(tasks.values(), reverse=True)
@@ -311,9 +320,9 @@
     return [min(found, key=Part.share) for found in (begun, ended) if found]
 
 
-def play(bench: Path, site: Path, row: Row, seed: int, folder: Path, title: str) -> Played:
-    """Play one day, unless its report is there already."""
-    copy, day = make(site, row, folder)
+def run_day(bench: Path, site: Path, row: Row, seed: int, folder: Path, title: str) -> DayResult:
+    """Run one day, unless its report exists already; return its results.  Raises RuntimeError without a report."""
+    copy, day = write_site_copy(site, row, folder)
     report, log = folder / f"report-{seed}.json", folder / f"log-{seed}.txt"
     if not report.exists():
         part = folder / f"part-{seed}.json"
@@ -326,11 +335,11 @@
             lines = log.read_text(encoding="utf-8", errors="replace").splitlines()
             raise RuntimeError(f"{title}: the bench wrote no report (exit code {code}): {lines[-1] if lines else ''}")
         part.rename(report)
-    return read(title, report, log, tomllib.loads(copy.read_text(encoding="utf-8")))
+    return read_results(title, report, log, tomllib.loads(copy.read_text(encoding="utf-8")))
 
 
-def table(days: list[Played], floor: float, aim: float) -> str:
-    """The days as a table for `docs/acceptance.md`; the least class or team of each in bold."""
+def table(days: list[DayResult], floor: float, aim: float) -> str:
+    """Format the days as a Markdown table; the class or team with the lowest share of each day is in bold."""
     lines = [
         "| day | machines | figure | to play | memory, MB | connections | accepted | done of those that came, by "
         "class; started, by team | verdict |",
@@ -338,26 +347,26 @@
     ]
     for day in days:
         least = min(day.parts, key=Part.share) if day.parts else None
-        said = []
+        cells = []
         for part in day.parts:
             by_tasks = "" if part.tasks_done is None else f", tasks {part.tasks_done / max(part.tasks, 1):.2f}"
             count = part.started if part.done is None else part.done
             mark = " (under the aim)" if part.done is not None and part.share() < aim else ""
             off = f" ({part.called_off} called off)" if part.called_off else ""
             text = f"{part.name} {count} of {part.jobs}{off}: {part.share():.2f}{by_tasks}{mark}"
-            said.append(f"**{text}**" if part is least else text)
+            cells.append(f"**{text}**" if part is least else text)
         failed = day.failed(floor)
         verdict = f"FAILS: {', '.join(failed)}" if failed else "passes"
         figure = "-" if day.figure is None else f"{day.figure:.2f}"
         lines.append(
             f"| {day.title} | {day.machines} | {figure} | {day.played_s:.0f} s | {day.memory} | "
-            f"{day.connections} | {day.accepted:.3f} | {'; '.join(said)} | {verdict} |"
+            f"{day.connections} | {day.accepted:.3f} | {'; '.join(cells)} | {verdict} |"
         )
     return "\n".join(lines) + "\n"
 
 
 def rows_of(matrix: Path, wanted: list[str], names: list[str]) -> list[Row]:
-    """The matrix's rows of some sets, or by name."""
+    """Return the matrix's rows that have one of the names, or without names those of the wanted sets."""
     data = tomllib.loads(matrix.read_text(encoding="utf-8"))
     rows = []
     for number, raw in enumerate(data.get("row", ())):
@@ -374,25 +383,25 @@
 
 
 def main() -> int:
-    """Play the chosen rows and print the report; the exit code."""
+    """Run the chosen rows and print the table; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--bench", type=Path, help="the bench's program")
     parser.add_argument("--sites", type=Path, nargs="*", default=[], help="site files; `wire.json` lies beside them")
-    parser.add_argument("--matrix", type=Path, default=MATRIX, help="the rows to play")
+    parser.add_argument("--matrix", type=Path, default=MATRIX, help="the file with the rows")
     parser.add_argument("--set", nargs="*", default=["short"], help="sets of rows (default: short)")
-    parser.add_argument("--row", nargs="*", default=[], help="rows by name instead")
-    parser.add_argument("--seeds", type=int, nargs="*", help="instead of those of the rows")
-    parser.add_argument("--jobs", type=int, default=6, help="days played at one time (default: 6)")
-    parser.add_argument("--dir", type=Path, default=ROOT / "target" / "accept", help="where runs are kept")
-    parser.add_argument("--reports", type=Path, nargs="*", help="read these reports; play nothing")
+    parser.add_argument("--row", nargs="*", default=[], help="rows by name instead of by set")
+    parser.add_argument("--seeds", type=int, nargs="*", help="seeds instead of those of the rows")
+    parser.add_argument("--jobs", type=int, default=6, help="days run at the same time (default: 6)")
+    parser.add_argument("--dir", type=Path, default=ROOT / "target" / "accept", help="the folder of the results")
+    parser.add_argument("--reports", type=Path, nargs="*", help="read these reports and run nothing")
     parser.add_argument("--floor", type=float, default=0.5, help="the least share of a class or team (0.5)")
-    parser.add_argument("--aim", type=float, default=0.6, help="what is gone for (0.6)")
+    parser.add_argument("--aim", type=float, default=0.6, help="classes with a lower share are marked (0.6)")
     parser.add_argument("--table", type=Path, help="write the table there as well")
-    parser.add_argument("--json", action="store_true", help="one list for programs")
+    parser.add_argument("--json", action="store_true", help="print a JSON list")
     args = parser.parse_args()
     try:
         if args.reports is not None:
-            days = [read(path.stem, path, path.with_suffix(".log"), None) for path in args.reports]
+            days = [read_results(path.stem, path, path.with_suffix(".log"), None) for path in args.reports]
         elif args.bench is None or not args.sites:
             parser.error("--bench and --sites are needed, or --reports")
         else:
@@ -401,7 +410,7 @@
         print(f"accept: {error}", file=sys.stderr)
         return 2
     if not days:
-        print("accept: nothing was played: no row is of these sets and sites", file=sys.stderr)
+        print("accept: no day was run: no row matches these sets, names and sites", file=sys.stderr)
         return 2
     text = table(days, args.floor, args.aim)
     if args.table:
@@ -410,8 +419,8 @@
     return 1 if any(day.failed(args.floor) for day in days) else 0
 
 
-def run_all(args: argparse.Namespace) -> list[Played]:
-    """Play all days that the arguments choose, several at one time."""
+def run_all(args: argparse.Namespace) -> list[DayResult]:
+    """Run all days that the arguments choose, several at the same time."""
     git = ["git", "-C", str(ROOT), "rev-parse", "--short", "HEAD:ashtray"]
     sources = subprocess.run(git, check=True, capture_output=True, text=True).stdout.strip()
     work = []
@@ -422,24 +431,24 @@
     began = time.monotonic()
     ended = 0
 
-    def one(item: tuple[Path, Row, int]) -> Played:
+    def run_item(item: tuple[Path, Row, int]) -> DayResult:
         nonlocal ended
         site, row, seed = item
         title = f"{site.stem.partition('-')[0]} {row.name}" + (f" ({seed})" if seed else "")
         folder = args.dir / sources / re.sub(r"\W+", "-", f"{site.stem} {row.name}")
         try:
-            day = play(args.bench, site, row, seed, folder, title)
+            day = run_day(args.bench, site, row, seed, folder, title)
         except (RuntimeError, subprocess.SubprocessError) as error:
-            day = Played(title, row.day, 0, None, [], 0, 0.0, "-", "-", 0.0, [], str(error))
+            day = DayResult(title, row.day, 0, None, [], 0, 0.0, "-", "-", 0.0, [], str(error))
         ended += 1
         verdict = ", ".join(day.failed(args.floor)) or "passes"
-        said = f"{ended} of {len(work)}, {time.monotonic() - began:.0f} s: {title}: {verdict}"
-        print(said, file=sys.stderr, flush=True)
+        progress = f"{ended} of {len(work)}, {time.monotonic() - began:.0f} s: {title}: {verdict}"
+        print(progress, file=sys.stderr, flush=True)
         return day
 
-    # The longest first would be better, but nobody knows them.
+    # Starting with the longest days would be faster, but their length is not known in advance.
     with ThreadPoolExecutor(args.jobs) as pool:
-        return list(pool.map(one, work))
+        return list(pool.map(run_item, work))
 
 
 if __name__ == "__main__":
