--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on the best that any scheduler could do, from public facts given as arguments.
+"""Compute bounds on the best result of any scheduler, from public facts that are given as arguments.
 
     python tools/bounds.py finished --median 100 --p95 200 --within 180 --overhead 1 [--tasks N]
     python tools/bounds.py price --demand 35 --cheap-units 20 --cheap 0.83 --dear 2.46
@@ -18,14 +18,15 @@
 from statistics import NormalDist
 
 JOB_CHANGES = 4
+"""The writes to the state service that each job costs: accepted, placed, ended, and its long record removed."""
 Z95 = NormalDist().inv_cdf(0.95)
 
 
 def finished(median: float, p95: float, within: float, overhead: float, tasks: int) -> float:
-    """The share of jobs that can be done in time when each starts at once.
+    """Return the share of jobs that can be done in time when each starts at once.
 
-    Run times are taken as log-normal with this median and 95th percentile; a job is done with the last of its
-    tasks, and each has `overhead` seconds that nobody can avoid before it runs.
+    Run times in seconds are taken as log-normal with this median and 95th percentile.  A job is done when the last of
+    its tasks is done, and each task has `overhead` unavoidable seconds before it runs.
     """
     sigma = math.log(p95 / median) / Z95
     left = within - overhead
@@ -35,22 +36,22 @@
 
 
 def price(demand: float, cheap_units: float, cheap: float, dear: float) -> float:
-    """The least price, as a multiple of the cheapest, when only so many cheap units can be had at once."""
+    """Return the lowest average price, as a multiple of the cheap one, when only `cheap_units` are available."""
     on_cheap = min(demand, cheap_units)
     return (on_cheap * cheap + (demand - on_cheap) * dear) / (demand * cheap)
 
 
 def useful(boot: float, fetch: float, busy: float) -> float:
-    """The greatest useful share of what a machine costs that boots, fetches once and is then busy all the time."""
+    """Return the greatest useful share of the cost of a machine that boots, fetches once and is then always busy."""
     return busy / (boot + fetch + busy)
 
 
 def changes(rate: float, jobs: float, groups: int, run: float) -> float:
-    """The greatest share of the time that room is in use when so many changes a second may be written.
+    """Return the greatest share of time that resources are in use when `rate` writes a second are allowed.
 
-    A job costs four changes whatever else is done: it is accepted, placed, ended (its short record written and the
-    long one removed).  What is left is for the groups' records.  If each write frees and fills a group at once, room
-    that a task leaves waits half a turn of all groups on average until the next one gets it.
+    Each job costs four writes: it is accepted, placed, and ended (its short record is written and the long one
+    removed).  The remaining writes are for the group records.  If each write frees and fills a whole group, resources
+    that a task frees wait for half a cycle through all groups on average until the next task gets them.
     """
     left = rate - JOB_CHANGES * jobs
     if left <= 0:
@@ -60,9 +61,9 @@
 
 
 def wait(images: int, machines: int, jobs: int, fetch: float, within: float) -> float:
-    """The greatest share of starts in time when the first use of each image somewhere must fetch it.
+    """Return the greatest share of starts in time when the first use of each image must fetch it.
 
-    Only one machine of the given number is charged a fetch for each image: less cannot be had.
+    Each image is fetched by only one of the machines, which is the least possible.
     """
     missed = min(images, images * machines) if fetch > within else 0
     return max(0.0, 1.0 - missed / jobs)
@@ -71,11 +72,11 @@
 def overload(
     places: float, rate: float, hold: float, seconds: float, factor: float, burst: float, start: float, within: float
 ) -> float:
-    """The greatest share of tasks that any order can give a place within so many seconds.
+    """Return the greatest share of tasks that any order of placement can start within so many seconds.
 
-    `rate` tasks come a second, `factor` times as many during `burst` of all `seconds` (from a third of them on), and
-    `start` at the beginning; each holds one of the `places` for `hold` seconds.  Tasks are taken as a fluid, places
-    come free evenly, and who can no longer be in time is left out: no gang has to find all of its places at once.
+    `rate` tasks arrive per second, `factor` times as many for `burst` of all `seconds` (from one third of `seconds`
+    on), and `start` tasks at the beginning; each uses one of the `places` for `hold` seconds.  Tasks are treated as a
+    fluid, and tasks that can no longer start in time are left out.  Gangs need not get all of their places at once.
     """
     served = came = 0.0
     queue: list[list[float]] = []
@@ -98,7 +99,7 @@
 
 
 def smallest(share: float, median: float, p95: float) -> float:
-    """The part of all tasks that is in the smallest jobs, so many of all, when jobs' sizes are log-normal."""
+    """Return the share of all tasks that is in the smallest `share` of the jobs, when job sizes are log-normal."""
     if share <= 0 or share >= 1:
         return max(min(share, 1.0), 0.0)
     sigma = math.log(p95 / median) / Z95
@@ -118,12 +119,16 @@
     median: float,
     p95: float,
 ) -> float:
-    """The greatest least share of two classes' jobs that can be done, the last one's smallest jobs first.
+    """Return the greatest share of jobs that can be done in each of two classes.
 
-    Tasks of the first class come at a mean of `first` a second and hold a place for `first_hold` seconds, of those
-    of the last one `last` for `last_hold`.  So many places only the one can use, and so many only the other; each of
-    `shared` machines takes so many of either.  All of the time may be used, and no change of the state service is
-    counted.  With a median and a 95th percentile of 1 jobs are of one size: then it is the share by tasks, too.
+    Of the last class the smallest jobs are done first.
+
+    Tasks of the first class arrive at a mean of `first` per second and use a place for `first_hold` seconds; those of
+    the last class arrive at `last` per second and use a place for `last_hold` seconds.  `first_only` and `last_only`
+    places can be used by one class only; each of `shared` machines has `shared_first` places for the first class, or
+    `shared_last` for the last one.  Places are used all the time, and writes to the state service are not counted.
+    `median` and `p95` are those of the tasks in a job of the last class; if both are 1, all jobs have the same size,
+    and the result is also the share of tasks.
     """
     low, high = 0.0, 1.0
     for _ in range(50):
@@ -136,8 +141,8 @@
 
 
 def main() -> None:
-    """Print the bound that the command line asks for."""
-    parser = argparse.ArgumentParser(description="Bounds on the best that could be done.")
+    """Print the bound that the command line chooses."""
+    parser = argparse.ArgumentParser(description="Compute a bound on the best result of any scheduler.")
     bounds = parser.add_subparsers(dest="bound", required=True)
     for name, call, numbers in (
         ("finished", finished, {"median": float, "p95": float, "within": float, "overhead": float, "tasks": int}),
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -1,15 +1,15 @@
-"""Where a controller's processor time and memory go, with no bench: real cores and stand-ins, in memory.
+"""Profile the processor time and memory of a controller without the bench: real cores on simulated services.
 
     python tools/ledger.py [--controllers 5] [--machines 550] [--seconds 120] [--after 60] [--load 1.0] [--top 30]
                            [--start] [--json]
 
-Five controllers, or as many as asked for, run a fleet with gangs, arrays and cancellations; one of them is watched.
-The first table says what its core's time went into, by duty, from `--after` on (with `--start`: the ten seconds after
-all controllers were ended together at that moment).  Seconds are those of this machine under its profiler; the second
-table, counts of work for each simulated second, repeats exactly for the same arguments.  The last lines are the
-memory that its cluster state takes, and the peak while it was read anew.
+The controllers run a fleet with gangs, arrays and cancellations; the core of one controller is profiled.  The first
+table has the time of this core by duty, from `--after` on (with `--start`: for the ten seconds after all controllers
+crashed together at that moment).  Its times are measured on this machine under the profiler and vary; the counts of
+work per simulated second in the second table are the same for the same arguments.  Then follow the memory that the
+cluster state takes and its peak while it is read from the state service, and the functions that took most time.
 
-What it does not show is what the daemon adds: sockets, HTTP and MessagePack at the edge, imports, garbage collection.
+The costs of the daemon are not included: sockets, HTTP, encoding of MessagePack, imports and garbage collection.
 
 Exit codes: 0 done, 2 the arguments cannot be used.
 """
@@ -58,11 +58,11 @@
     "words from peers": "presence.py:on_word",
     "estimates": "estimate_store.py:run",
 }
-"""What the time is told by: the first function of each duty, with all that it calls."""
+"""The outermost function of each duty, as FILE:FUNCTION; a duty's time includes all functions that it calls."""
 
 
 class Fleet(models.Model):
-    """The model at another size, with one core watched."""
+    """The model of the tests at another size, with the core of controller 0 profiled."""
 
     def __init__(self, controllers: int, machines: int, load: float, seed: int = 1) -> None:
         self.size, self.load = machines, load
@@ -91,12 +91,12 @@
         return super()._taken(host, life, watched)
 
     def _run_us(self, key: Any) -> int:
-        # About 100 s for gangs, 40 s for arrays.
+        # The median is 100 s for gangs and 40 s for arrays.
         median = 100.0 if self.jobs[key[0]].spec["shape"] == "gang" else 40.0
         return int(random.Random(f"{key[0]}/{key[2]}").lognormvariate(0.0, 0.4) * median * SECOND)
 
     def arrive(self) -> None:
-        """Users submit at about the rate that the fleet can take."""
+        """Submit a job and schedule the next; at a load of 1 the fleet can just run the jobs."""
         rate = 2.0 * self.load * self.size / 550
         self.at(int(self.users.expovariate(rate) * SECOND), self.arrive)
         self.number += 1
@@ -138,7 +138,7 @@
 
 
 def scale() -> None:
-    """Set the model's constants to those of a large deployment."""
+    """Set the constants and settings of the model to those of a large deployment."""
     models.LEASE_S, models.CANCEL_S, models.REPORT_S = 18.0, 43.0, 2.5
     models.GANG_WAIT_S, models.GANG_PEER_S = 35.0, 4.0
     models.TYPES = [
@@ -183,7 +183,7 @@
 
 
 def ledger(profile: cProfile.Profile, seconds: float, top: int) -> dict[str, Any]:
-    """What the watched core's time went into."""
+    """Return the time of the profiled core, in seconds per simulated second, by duty and by function."""
     stats = pstats.Stats(profile)
     by_name: dict[str, tuple[int, float, float]] = {}
     for (file, _, name), (_, calls, own, total, _) in stats.stats.items():  # type: ignore[attr-defined]
@@ -203,7 +203,7 @@
 
 
 def memory(fleet: Fleet) -> dict[str, float]:
-    """MB that a cluster state of all that is stored takes, and the peak while it is put together from its pages."""
+    """Build a cluster state from all stored records; return its size, its memory and its peak memory, in MB."""
     items = [
         (key, value, stamp) for key, (value, stamp, _) in fleet.state.keys.items() if key.startswith("ashtray/now/")
     ]
@@ -227,22 +227,26 @@
 
 
 def main() -> int:
-    """Run the model and print where the time of one core goes; the exit code."""
+    """Run the model and print the time and memory of one core; returns the exit code."""
     if os.environ.get("PYTHONHASHSEED") != "0":
-        # Somewhere the order of a set matters: without this the counts do not repeat.
+        # The counts depend on the iteration order of sets, which varies with the hash seed.
         os.execve(sys.executable, [sys.executable, *sys.argv], {**os.environ, "PYTHONHASHSEED": "0"})
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--controllers", type=int, default=5)
     parser.add_argument("--machines", type=int, default=550)
-    parser.add_argument("--seconds", type=float, default=120.0, help="simulated seconds that are watched")
-    parser.add_argument("--after", type=float, default=60.0, help="simulated seconds before that")
-    parser.add_argument("--load", type=float, default=1.0, help="jobs, against what the fleet can take")
+    parser.add_argument("--seconds", type=float, default=120.0, help="simulated seconds that are profiled")
+    parser.add_argument("--after", type=float, default=60.0, help="simulated seconds before the profile begins")
+    parser.add_argument(
+        "--load", type=float, default=1.0, help="submitted work, as a factor of what the fleet can run"
+    )
     parser.add_argument("--top", type=int, default=30, help="rows of the tables of functions")
-    parser.add_argument("--start", action="store_true", help="watch the ten seconds after all ended together")
+    parser.add_argument(
+        "--start", action="store_true", help="profile the ten seconds after all controllers crash together"
+    )
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
     if min(args.controllers, args.machines, args.seconds, args.after, args.load, args.top) <= 0:
-        parser.error("all numbers have to be above 0")
+        parser.error("all numbers must be above 0")
     scale()
     fleet = Fleet(args.controllers, args.machines, args.load)
     fleet.run(2)
@@ -254,7 +258,7 @@
         for host in fleet.hosts:
             fleet.crash(host.number, 0.3)
     changes = fleet.state.revision
-    # Circles are looked for among the objects of all cores and stand-ins here: that is not this core's time.
+    # The garbage collector would search the objects of all cores and services, which is not this core's time.
     gc.disable()
     fleet.run(seconds)
     gc.enable()
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -1,16 +1,15 @@
-"""Score the sites that a change may have hurt, and say which days fell from the best that the repository knows.
+"""Score the sites that a change may affect, and report the days that are worse than the best recorded scores.
 
     python tools/regress.py --bench PATH/fleetbench --sites A.toml B.toml --wide C.toml D.toml --why "..."
 
-`--sites` are always scored, today the two `-lean` and the two `-next` files; `--wide`, the two `-fleet` files, too
-where the change since `--base` (default: HEAD~1) touches storage, membership, timers or what machines say to each
-other.  The bests are in `docs/figures.toml`.  `--full` plays all standard days instead of the two roughest; `--keep`
-writes better figures down; `--entries N` compares what the last N entries of the journal say, and plays nothing;
-`--served REPORT...` adds what `tools/accept.py` says of days that were run one by one, for a score does not tell of
-classes.
+`--sites` are always scored, currently the two `-lean` and the two `-next` files.  `--wide`, the two `-fleet` files,
+are scored as well if the change since `--base` (default: HEAD~1) touches storage, membership, timers or messages.  The
+best scores are in `docs/figures.toml`.  `--full` runs all standard days instead of the two hardest; `--keep` writes better
+scores to the file; `--entries N` compares the last N entries of the journal and runs nothing.  A score says nothing
+about single job classes: `--served REPORT...` adds the verdict of `tools/accept.py` on days that were run one by one.
 
-Exit codes: 0 nothing fell, 1 a day fell by more than `--noise`, broke a rule or failed, 2 the command line or a file
-cannot be used.
+Exit codes: 0 no day got worse, 1 a day got worse by more than `--noise`, broke a rule or failed, 2 the command line
+or a file cannot be used.
 """
 
 from __future__ import annotations
@@ -43,23 +42,23 @@
     "jobs/service",
     "jobs/model",
 )
-"""Where a change touches storage, membership, timers or messages."""
+"""Paths under `ashtray/` whose changes affect storage, membership, timers or messages."""
 
 
 def touches_wide(base: str) -> list[str]:
-    """The changed files, committed or not, that call for the wide sites as well."""
+    """Return the files changed since `base`, committed or not, for which the wide sites are scored as well."""
     git = ["git", "-C", str(ROOT), "diff", "--name-only", base, "--", "ashtray"]
     names = subprocess.run(git, check=True, capture_output=True, text=True).stdout.split()
     return [name for name in names if name.removeprefix("ashtray/").startswith(WIDE)]
 
 
 def load_table() -> dict[str, dict[str, dict[str, Any]]]:
-    """The best figures by site and day, from `docs/figures.toml`."""
+    """Return the best scores by site and day, from `docs/figures.toml`."""
     return tomllib.loads(TABLE.read_text(encoding="utf-8")) if TABLE.exists() else {}
 
 
 def save_table(table: dict[str, dict[str, dict[str, Any]]]) -> None:
-    """Write the best figures to `docs/figures.toml`."""
+    """Write the best scores to `docs/figures.toml`."""
     lines = [
         "# The best figure of each standard day (simulated machines), and the journal's entry that it is from.",
         "# Written by tools/regress.py --keep.",
@@ -72,12 +71,12 @@
 
 
 def entries() -> list[Path]:
-    """The journal's entries, by name."""
+    """Return the journal's entries, sorted by name."""
     return sorted((ROOT / "journal").glob("*.json"))
 
 
 def compare(paths: list[Path], table: dict[str, dict[str, dict[str, Any]]], noise: float) -> int:
-    """Print each day beside its best, note better ones in the table, and count what fell, broke or failed."""
+    """Print each day beside its best score and put better scores into the table; return how many days were bad."""
     bad = 0
     for path in paths:
         entry = json.loads(path.read_text(encoding="utf-8"))
@@ -104,26 +103,30 @@
 
 
 def main() -> int:
-    """Score the sites and compare with the best figures; the exit code."""
+    """Score the sites and compare them with the best scores; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--bench", type=Path, help="the bench's program")
     parser.add_argument("--sites", nargs="*", default=[], help="site files that are always scored")
     parser.add_argument("--wide", nargs="*", default=[], help="site files for changes of storage, membership, timers")
-    parser.add_argument("--base", default="HEAD~1", help="the commit that the change is counted from")
-    parser.add_argument("--why", default="regression", help="one sentence for the journal")
-    parser.add_argument("--jobs", type=int, help="days played at one time")
-    parser.add_argument("--noise", type=float, default=0.03, help="what a figure may differ by (default: 0.03)")
-    parser.add_argument("--full", action="store_true", help="all standard days")
-    parser.add_argument("--keep", action="store_true", help="write better figures to docs/figures.toml")
-    parser.add_argument("--entries", type=int, metavar="N", help="compare the journal's last N entries; play nothing")
-    parser.add_argument("--served", nargs="*", default=[], help="reports of days: no class of jobs may be under half")
+    parser.add_argument("--base", default="HEAD~1", help="the commit with which the change is compared")
+    parser.add_argument("--why", default="regression", help="the reason, one sentence for the journal")
+    parser.add_argument("--jobs", type=int, help="days run at the same time")
+    parser.add_argument("--noise", type=float, default=0.03, help="how much a score may vary (default: 0.03)")
+    parser.add_argument("--full", action="store_true", help="run all standard days")
+    parser.add_argument("--keep", action="store_true", help="write better scores to docs/figures.toml")
+    parser.add_argument(
+        "--entries", type=int, metavar="N", help="compare the journal's last N entries and run nothing"
+    )
+    parser.add_argument(
+        "--served", nargs="*", default=[], help="reports of days: fail if under half of the jobs of a class are done"
+    )
     args = parser.parse_args()
     if args.entries is None:
         if args.bench is None or not args.sites:
             parser.error("--bench and --sites are needed, or --entries")
         wide = touches_wide(args.base) if args.wide else []
         if wide:
-            print(f"the wide sites too, for {', '.join(wide)}")
+            print(f"the wide sites are scored too, because of changes in {', '.join(wide)}")
         before = set(entries())
         command = [str(args.bench), "score", *args.sites, *(args.wide if wide else ()), "--why", args.why]
         command += [] if args.full else ["--quick"]
