--- a/tools/regress.py
+++ b/tools/regress.py
@@ -3,10 +3,11 @@
     python tools/regress.py --bench PATH/fleetbench --sites A.toml B.toml --wide C.toml D.toml --why "..."
 
 `--sites` are always scored, currently the two `-lean` and the two `-next` files.  `--wide`, the two `-fleet` files,
-are scored as well if the change since `--base` (default: HEAD~1) touches storage, membership, timers or messages.  The
-best scores are in `docs/figures.toml`.  `--full` runs all standard days instead of the two hardest; `--keep` writes better
-scores to the file; `--entries N` compares the last N entries of the journal and runs nothing.  A score says nothing
-about single job classes: `--served REPORT...` adds the verdict of `tools/accept.py` on days that were run one by one.
+are scored as well if the change since `--base` (default: HEAD~1) touches storage, membership, timers or messages.
+The best scores are in `docs/figures.toml`.  `--full` runs all standard days instead of the two hardest; `--keep`
+writes better scores to the file; `--entries N` compares the last N entries of the journal and runs nothing.  A score
+says nothing about single job classes: `--served REPORT...` adds the verdict of `tools/accept.py` on days that were
+run one by one.
 
 Exit codes: 0 no day got worse, 1 a day got worse by more than `--noise`, broke a rule or failed, 2 the command line
 or a file cannot be used.
--- a/tools/takeover.py
+++ b/tools/takeover.py
@@ -20,8 +20,8 @@
 
 With `--starts` the table has one row for each process that was started again after a crash: the seconds from the
 crash until it listens, has signed in, makes its first placement and accepts its first job, and how many controllers
-crashed together.  For each crash of several controllers a line has the seconds until any controller placed a task, and until
-a fleet leader was there, had taken the fleet over and made its first decision.
+crashed together.  For each crash of several controllers a line has the seconds until any controller placed a task,
+and until a fleet leader was there, had taken the fleet over and made its first decision.
 
 Exit codes: 0 done, 2 a file cannot be read, or no file has a fall.
 """
